--- a/cobaltline/adapter.py
+++ b/cobaltline/adapter.py
@@ -8,50 +8,50 @@
 import sys
 
 from . import interface as io
-from .brain import Gateway
+from .gateway import Gateway
 
 OUTCOMES = {
     0: io.Outcome.OK,
     13: io.Outcome.ERROR,
-    8: io.Outcome.FULL,
+    8: io.Outcome.OVERLOADED,
     4: io.Outcome.TIMEOUT,
     14: io.Outcome.CONNECT_FAILED,
     10: io.Outcome.RESET,
     1: io.Outcome.CANCELLED,
-    9: io.Outcome.MOOT,
+    9: io.Outcome.NOT_SENT,
 }
 LISTS = {
-    "Partial": io.ListKind.CHANGES,
-    "Complete": io.ListKind.WHOLE,
-    "Persisted": io.ListKind.REMEMBERED,
+    "Partial": io.ListKind.DELTA,
+    "Complete": io.ListKind.COMPLETE,
+    "Persisted": io.ListKind.CACHED,
     "Error": io.ListKind.FAILED,
 }
 STATES = {"up": io.BackendState.UP, "draining": io.BackendState.DRAINING, "removed": io.BackendState.REMOVED}
 
 CLASS_KEYS = {
-    "promiseMs": "aim_ms",
-    "giveUpMs": "deadline_ms",
+    "promiseMs": "target_latency_ms",
+    "giveUpMs": "timeout_ms",
     "keyScope": "key_scope",
     "keyTtlMs": "key_ttl_ms",
     "lateWorth": "late_worth",
-    "aimStretch": "aim_stretch",
+    "aimStretch": "target_stretch",
     "worth": "worth",
     "stream": "stream",
 }
 PLAN_KEYS = {
     "unitsPerS": "rate",
     "depth": "burst",
-    "concurrency": "open_limit",
+    "concurrency": "max_concurrency",
     "hardRate": "ceiling_rate",
     "ceilingBurst": "ceiling_burst",
-    "tolerance": "ceiling_slack",
+    "tolerance": "ceiling_tolerance",
     "excessWorth": "excess_worth",
     "overrunCost": "overrun_cost",
     "price": "price",
 }
 SETTING_KEYS = {
     "": {
-        "me": "me",
+        "me": "node_id",
         "instances": "gateways",
         "zone": "zone",
         "resolutionMs": "tick_ms",
@@ -59,17 +59,17 @@
     },
     "familyInfo": {
         "counter": "counter",
-        "countWaitMs": "counter_wait_ms",
+        "countWaitMs": "counter_timeout_ms",
         "counterPrice": "counter_price",
-        "costAfter": "settles",
+        "costAfter": "has_settled_units",
         "meterMs": "meter_ms",
-        "unitsTop": "most_units",
-        "peerInPerS": "peer_in_per_s",
+        "unitsTop": "max_units",
+        "peerInPerS": "peer_messages_in_per_s",
     },
     "policyLimits": {
         "cancel": "may_cancel",
         "probing": "may_probe",
-        "peerMessages": "may_tell",
+        "peerMessages": "may_message_peers",
         "mayDuplicate": "may_duplicate",
         "retryAfter": "may_advise",
         "maxRetryAfterMs": "most_retry_after_ms",
@@ -78,7 +78,7 @@
     },
     "obligations": {
         "answerSlackMs": "answer_slack_ms",
-        "askEveryMs": "ask_every_ms",
+        "askEveryMs": "poll_interval_ms",
         "coldFrom": "cold_from",
         "coldMs": "cold_ms",
         "fallMultiple": "fall_multiple",
@@ -94,7 +94,7 @@
 }
 
 
-class Malformed(Exception):
+class MalformedInput(Exception):
     """A line that the wire does not allow."""
 
 
@@ -108,11 +108,11 @@
             continue
         want = type(getattr(target, ours))
         if want in (int, float, bool) and not isinstance(value, (int, float)):
-            raise Malformed(f"{where}{theirs}: {value!r} is not a number")
+            raise MalformedInput(f"{where}{theirs}: {value!r} is not a number")
         try:
             setattr(target, ours, want(value))
         except (ValueError, OverflowError):  # NaN and infinity, which JSON's reader takes
-            raise Malformed(f"{where}{theirs}: {value!r} is not a whole number") from None
+            raise MalformedInput(f"{where}{theirs}: {value!r} is not a whole number") from None
     return target
 
 
@@ -120,41 +120,43 @@
     """Entries with their paths."""
     found = info.get(key) or []
     if not isinstance(found, list):
-        raise Malformed(f"{key}: {found!r:.60} is not a list of named objects")
+        raise MalformedInput(f"{key}: {found!r:.60} is not a list of named objects")
     for i, entry in enumerate(found):
         if not isinstance(entry, dict):
-            raise Malformed(f"{key}[{i}]: {entry!r:.60} is not an object")
+            raise MalformedInput(f"{key}[{i}]: {entry!r:.60} is not an object")
         if not entry.get("name") or isinstance(entry["name"], (dict, list)):
-            raise Malformed(f"{key}[{i}].name: {entry.get('name')!r} is not a name")
+            raise MalformedInput(f"{key}[{i}].name: {entry.get('name')!r} is not a name")
         yield f"{key}[{i}].", entry
 
 
 def _repeat(entry, where):
     text = entry.get("idempotency")
     if isinstance(text, (dict, list)):
-        raise Malformed(f"{where}idempotency: {text!r} is not one of {', '.join(k.value for k in io.Repeat)}")
-    return {k.value: k for k in io.Repeat}.get(text, io.Repeat.UNSAFE)
+        raise MalformedInput(
+            f"{where}idempotency: {text!r} is not one of {', '.join(k.value for k in io.Idempotency)}"
+        )
+    return {k.value: k for k in io.Idempotency}.get(text, io.Idempotency.UNSAFE)
 
 
-def settings_from(info: dict) -> io.Settings:
+def parse_settings(info: dict) -> io.Settings:
     """The settings of a `SPAWN`; keys that are unknown are passed over. Raises Malformed, which names the
     field by its path in the settings."""
     out = io.Settings()
     for section, keys in SETTING_KEYS.items():
         _fill(out, info.get(section) if section else info, keys, section and f"{section}.")
-    out.must_ask = info.get("discovery") == "ask"
+    out.must_poll = info.get("discovery") == "ask"
     report = info.get("report") or {}
     if not isinstance(report, dict):
-        raise Malformed(f"report: {report!r:.60} is not an object")
+        raise MalformedInput(f"report: {report!r:.60} is not an object")
     source, columns = report.get("source", "off"), report.get("columns") or ()
     try:
-        out.reports = tuple(columns) if source != "off" else ()
+        out.load_report_fields = tuple(columns) if source != "off" else ()
     except TypeError:
-        raise Malformed(f"report.columns: {columns!r} is not a list of names") from None
-    out.reports_on_answers = source == "inline"
+        raise MalformedInput(f"report.columns: {columns!r} is not a list of names") from None
+    out.has_inline_load_reports = source == "inline"
     for where, entry in _items(info, "classes"):
         cls = _fill(io.RequestClass(name=entry["name"]), entry, CLASS_KEYS, where)
-        cls.repeat = _repeat(entry, where)
+        cls.idempotency = _repeat(entry, where)
         out.classes[cls.name] = cls
     for where, entry in _items(info, "plans"):
         out.plans[entry["name"]] = _fill(io.Plan(name=entry["name"]), entry, PLAN_KEYS, where)
@@ -182,7 +184,7 @@
 def _outcome(text):
     code = _int(text, -1)
     if code not in OUTCOMES:
-        raise Malformed(f"unknown result {text}")
+        raise MalformedInput(f"unknown result {text}")
     return OUTCOMES[code]
 
 
@@ -212,7 +214,7 @@
         outcome=_outcome(f[2]),
         final=f[4] == "1",
         elapsed_ms=_num(f[5]),
-        use_percent=use - 1 if use else None,
+        utilization_percent=use - 1 if use else None,
         settled_units=settled or None,
         report=_report(f[9]),
     )
@@ -223,7 +225,7 @@
 
 
 def _sum(f):
-    return io.CountResult(name=f[1], outcome=_outcome(f[2]), total=_num(f[3]), elapsed_ms=_num(f[4]))
+    return io.CounterResult(name=f[1], outcome=_outcome(f[2]), total=_num(f[3]), elapsed_ms=_num(f[4]))
 
 
 def _peer(f):
@@ -240,7 +242,7 @@
     "DONE": (10, _done),
     "SUM": (5, _sum),
     "ALARM": (2, lambda f: io.TimerFired(token=f[1])),
-    "CLIENT_LEFT": (2, lambda f: io.ClientLeft(request=f[1])),
+    "CLIENT_LEFT": (2, lambda f: io.ClientDisconnected(request=f[1])),
     "FIRST": (5, _first),
     "STATUS_BACK": (5, _probed),
     "NEIGHBOUR_SAYS": (3, _peer),
@@ -250,9 +252,9 @@
 def parse_item(line: str) -> io.Backend:
     f = line.split(" ")
     if len(f) != 8 or f[0] != "ITEM":
-        raise Malformed("expected an ITEM with 7 fields")
+        raise MalformedInput("expected an ITEM with 7 fields")
     if f[5] not in STATES:
-        raise Malformed(f"unknown status {f[5]}")
+        raise MalformedInput(f"unknown status {f[5]}")
     return io.Backend(
         id=f[1],
         zone=f[2],
@@ -272,10 +274,10 @@
     """One action as a line of the wire."""
     kind = type(action)
     if kind is io.Send:
-        return f"FORWARD {who} {action.request} {_ms(action.until_ms)} {action.backend}"
+        return f"FORWARD {who} {action.request} {_ms(action.deadline_ms)} {action.backend}"
     if kind is io.SetTimer:
         return f"WAKE_AT {who} {_ms(action.delay_ms)} {action.token}"
-    if kind is io.Count:
+    if kind is io.CounterAdd:
         return f"ADD {who} {_ms(action.ttl_ms)} {action.amount:.7g} {action.name}"
     if kind is io.Reject:
         return f"BUSY {who} {action.request} {_ms(action.retry_after_ms)}"
@@ -283,7 +285,7 @@
         return f"FINISH_ERROR {who} {action.request}"
     if kind is io.Cancel:
         return f"UNDO_SEND {who} {action.request} {action.attempt}"
-    if kind is io.Tell:
+    if kind is io.SendPeerMessage:
         to = "all" if action.to is None else action.to
         return f"NOTIFY {who} {to} {base64.b64encode(action.payload).decode() or '-'}"
     if kind is io.Probe:
@@ -320,9 +322,9 @@
         try:
             text = raw.decode("utf-8") if isinstance(raw, bytes) else raw
         except UnicodeDecodeError:
-            raise Malformed("not UTF-8 text") from None
+            raise MalformedInput("not UTF-8 text") from None
         if not text.endswith("\n"):
-            raise Malformed("the input ends inside a line")
+            raise MalformedInput("the input ends inside a line")
         return text[:-1]
 
     def run(self):
@@ -331,12 +333,12 @@
                 continue
             f = line.split(" ")
             if f[0] != "FRAME" or len(f) != 3:
-                raise Malformed("expected FRAME with a clock and a number")
+                raise MalformedInput("expected FRAME with a clock and a number")
             try:
                 now = float(f[1])
                 int(f[2])
             except ValueError:
-                raise Malformed("FRAME takes a clock and a number") from None
+                raise MalformedInput("FRAME takes a clock and a number") from None
             reply = []
             self._batch(now, reply)
             reply.append(f"END {f[2]}\n")
@@ -346,7 +348,7 @@
     def _batch(self, now, reply):
         while (line := self._next()) != "COMMIT":
             if line is None:
-                raise Malformed("the input ends inside a batch")
+                raise MalformedInput("the input ends inside a batch")
             name, _, rest = line.partition(" ")
             if name == "ROSTER_CHANGE":
                 self._roster(now, rest, reply)
@@ -358,19 +360,19 @@
                 count, parse = EVENTS[name]
                 fields = rest.split(" ")
                 if len(fields) != count:
-                    raise Malformed(f"{name} takes {count} fields, not {len(fields)}")
+                    raise MalformedInput(f"{name} takes {count} fields, not {len(fields)}")
                 try:
                     event = parse(fields)
                 except ValueError as error:
-                    raise Malformed(f"{name}: {error}") from None
+                    raise MalformedInput(f"{name}: {error}") from None
                 self._handle(fields[0], now, event, reply)
             elif not name.replace("_", "").isupper():
-                raise Malformed(f"{name[:40]!r} is not the name of an event")
+                raise MalformedInput(f"{name[:40]!r} is not the name of an event")
 
     def _handle(self, who, now, event, reply):
         gateway = self._gateways.get(who)
         if gateway is None:
-            raise Malformed(f"{who} has not been started")
+            raise MalformedInput(f"{who} has not been started")
         try:
             actions = gateway.handle(now, event)
             reply.extend([encode(who, action) for action in actions])
@@ -384,10 +386,10 @@
             seed = int(seed)
             info = json.loads(info)
         except ValueError as error:
-            raise Malformed(f"SPAWN: {error}") from None
+            raise MalformedInput(f"SPAWN: {error}") from None
         if not isinstance(info, dict):
-            raise Malformed("SPAWN: the settings are not an object")
-        settings = settings_from(info)
+            raise MalformedInput("SPAWN: the settings are not an object")
+        settings = parse_settings(info)
         try:
             self._gateways[who] = Gateway(settings, seed)
         except Exception as error:
@@ -396,17 +398,17 @@
     def _roster(self, now, rest, reply):
         f = rest.split(" ")
         if len(f) != 4 or f[1] not in LISTS:
-            raise Malformed("ROSTER_CHANGE takes an instance, a known kind, a version and a count")
+            raise MalformedInput("ROSTER_CHANGE takes an instance, a known kind, a version and a count")
         try:
             version, count = _int(f[2]), _int(f[3])
             items = []
             for _ in range(count):
                 line = self._next()
                 if line is None:
-                    raise Malformed("the input ends inside a list")
+                    raise MalformedInput("the input ends inside a list")
                 items.append(parse_item(line))
         except ValueError as error:
-            raise Malformed(f"ROSTER_CHANGE: {error}") from None
+            raise MalformedInput(f"ROSTER_CHANGE: {error}") from None
         event = io.BackendsChanged(kind=LISTS[f[1]], version=version, backends=tuple(items))
         self._handle(f[0], now, event, reply)
 
@@ -416,7 +418,7 @@
     host = Host(sys.stdin.buffer, sys.stdout)
     try:
         host.run()
-    except Malformed as error:
+    except MalformedInput as error:
         print(f"cobaltline.adapter: line {host.line_no}: {error}", file=sys.stderr)
         return 2
     return 0
--- a/cobaltline/clock_checkpoint.py
+++ b/cobaltline/clock_checkpoint.py
@@ -12,10 +12,10 @@
 
 import math
 
-from .fleet_time import NAME_LIFE_MS, RESOLUTION_MS, time_of, timestamp
+from .fleet_time import MAX_COUNTER_TTL_MS, TIMESTAMP_RESOLUTION_MS, decode_timestamp, encode_timestamp
 
-PREFIX = "fleet-time/"
-PERIOD_MS = NAME_LIFE_MS / 2  # a name that is made in one period lives all through the next
+CHECKPOINT_PREFIX = "fleet-time/"
+PERIOD_MS = MAX_COUNTER_TTL_MS / 2  # a name that is made in one period lives all through the next
 ROUNDING_MS = 1.0  # far more than arithmetic loses, far less than the resolution
 PERIODS = 4  # numbered round: a name that comes again has ended long ago
 
@@ -33,14 +33,14 @@
         return self._name(period), self._name(period - 1)
 
     def _name(self, period: int) -> str:
-        return f"{PREFIX}{self._gateway}/{period % PERIODS}"
+        return f"{CHECKPOINT_PREFIX}{self._gateway}/{period % PERIODS}"
 
     def encode(self, offset_ms: float, exact: bool) -> int:
         """As a total: the fleet's time is so many ms ahead of the gateway's own clock, or that at least.
         What is handed on and on is the same in the end: an exact one is rounded to the nearest."""
-        up_ms = RESOLUTION_MS / 2 if exact else ROUNDING_MS
-        return timestamp(offset_ms + self._origin_ms + up_ms, exact)
+        up_ms = TIMESTAMP_RESOLUTION_MS / 2 if exact else ROUNDING_MS
+        return encode_timestamp(offset_ms + self._origin_ms + up_ms, exact)
 
-    def fleet_time(self, total: int, now: float) -> float:
+    def decode(self, total: int, now: float) -> float:
         """The fleet's time in ms, from what was stored."""
-        return time_of(total) + now - self._origin_ms
+        return decode_timestamp(total) + now - self._origin_ms
--- a/cobaltline/fleet_clock.py
+++ b/cobaltline/fleet_clock.py
@@ -33,9 +33,17 @@
 from random import Random
 
 from . import interface as io
-from .clock_checkpoint import PREFIX, ClockCheckpoint
-from .clock_estimate import LEAD_MOST_MS, TOLERANCE_MS, ClockEstimate, Reading
-from .fleet_time import NAME_LIFE_MS, TIMESTAMP_MOST, FleetTime, is_exact, lead, short_way, timestamp
+from .clock_checkpoint import CHECKPOINT_PREFIX, ClockCheckpoint
+from .clock_estimate import MAX_LEAD_MS, TOLERANCE_MS, ClockEstimate, TimestampReading
+from .fleet_time import (
+    MAX_COUNTER_TTL_MS,
+    MAX_TIMESTAMP,
+    FleetTime,
+    encode_timestamp,
+    is_exact,
+    lead_ms,
+    wrap_difference_ms,
+)
 from .interface import Outcome
 
 NAME = "fleet-time"
@@ -49,7 +57,7 @@
 RACED_MS = 20.0  # after an addition that was raced
 FAILED_WAIT_MS = 50.0  # after a call that failed before the time is known; doubles
 FAILED_WAIT_MOST_MS = 800.0  # one name lies on one part of the counter: a whole fleet would crowd it
-NEEDED_WAIT_MS = 400.0  # or so long, where a request needs the time
+NEEDED_READ_INTERVAL_MS = 400.0  # or so long, where a request needs the time
 SLOWER, QUICKER = 1.25, 0.5  # change of the wait after a fresh timestamp, and after a stale one
 WAIT_LEAST_MS = 250.0
 WAIT_MOST_TIMES = 4.0  # of the usual wait
@@ -78,15 +86,15 @@
 
 
 class FleetClock:
-    """Keeps `time` in step with the other gateways. No I/O: `read`, `answered` and `stop` return the call
-    to make, and `next_at` is when to read again. `checkpoint` is where its time outlives the process."""
+    """Keeps `time` in step with the other gateways. No I/O: `read`, `on_result` and `stop` return the call
+    to make, and `next_read_at` is when to read again. `checkpoint` is where its time outlives the process."""
 
     def __init__(
         self, time: FleetTime, gateways: int, random: Random, checkpoint: ClockCheckpoint | None = None
     ):
         self.time, self._random, self._checkpoint = time, random, checkpoint
         self._estimate = ClockEstimate(time)
-        self.next_at = 0.0
+        self.next_read_at = 0.0
         self._pending: PendingCall | None = None
         self._read_at = -math.inf  # when the last read was sent
         self._needed_at = -math.inf  # when a request may ask for the next one
@@ -101,38 +109,38 @@
 
     def owns(self, name: str) -> bool:
         """Whether a count of this name is one of this clock's."""
-        return name == NAME or name.startswith(PREFIX)
+        return name == NAME or name.startswith(CHECKPOINT_PREFIX)
 
-    def reading(self) -> bool:
+    def has_pending_call(self) -> bool:
         """Whether a call is out."""
         return self._pending is not None
 
-    def deciding(self, now: float) -> bool:
+    def is_resolving(self, now: float) -> bool:
         """Whether more will soon be known of the time, or the call for it have failed."""
-        return self._pending is not None or self._estimate.narrowing(now)
+        return self._pending is not None or self._estimate.is_narrowing(now)
 
-    def read(self, now: float, needed: bool = False) -> io.Count | None:
+    def read(self, now: float, needed: bool = False) -> io.CounterAdd | None:
         """Ask for the timestamp, if it is time and no call is out. `needed`: a request waits for it."""
-        due_at = min(self.next_at, self._needed_at) if needed else self.next_at
+        due_at = min(self.next_read_at, self._needed_at) if needed else self.next_read_at
         if self._pending is not None or now < due_at:
             return None
-        self._needed_at = now + NEEDED_WAIT_MS * (0.5 + self._random.random())
+        self._needed_at = now + NEEDED_READ_INTERVAL_MS * (0.5 + self._random.random())
         return self._restore(now) or self._read(now)
 
-    def stop(self, now: float) -> io.Count | None:
+    def stop(self, now: float) -> io.CounterAdd | None:
         """The process is about to end: leave its time to the next one, once no other call is out."""
         self._to_store()
         return None if self._pending is not None else self._store(now)
 
-    def _read(self, now: float) -> io.Count:
+    def _read(self, now: float) -> io.CounterAdd:
         self._read_at = now
         return self._call(PendingCall(Purpose.READ))
 
-    def _call(self, call: PendingCall) -> io.Count:
+    def _call(self, call: PendingCall) -> io.CounterAdd:
         self._pending = call
-        return io.Count(call.name, float(call.amount), NAME_LIFE_MS)
+        return io.CounterAdd(call.name, float(call.amount), MAX_COUNTER_TTL_MS)
 
-    def answered(self, now: float, result: io.CountResult) -> io.Count | None:
+    def on_result(self, now: float, result: io.CounterResult) -> io.CounterAdd | None:
         """What came of the call that was out; returns the next one, if there is one to make at once."""
         call, self._pending = self._pending, None
         if result.outcome is not Outcome.OK or result.total is None:
@@ -141,7 +149,7 @@
         self._failed_wait_ms = FAILED_WAIT_MS
         return self._told(now, call, round(result.total), result.elapsed_ms) or self._store(now)
 
-    def _told(self, now: float, call: PendingCall, total: int, took_ms: float) -> io.Count | None:
+    def _told(self, now: float, call: PendingCall, total: int, took_ms: float) -> io.CounterAdd | None:
         if call.purpose is Purpose.READ:
             return self._seen(now, total, took_ms)
         if call.purpose is Purpose.SET:
@@ -159,7 +167,7 @@
         self._estimate.forget_contradiction()
         if call.purpose is Purpose.STORE:
             self._stored.pop(call.name, None)
-        elif self.time.known:
+        elif self.time.is_known:
             self._wait(now, self._wait_ms)
         else:
             self._wait(now, self._failed_wait_ms)
@@ -167,23 +175,23 @@
 
     def _wait(self, now: float, wait_ms: float) -> None:
         """Not all gateways at one moment."""
-        self.next_at = now + wait_ms * (0.5 + self._random.random())
+        self.next_read_at = now + wait_ms * (0.5 + self._random.random())
 
     # The time of the process before, and for the one to come.
 
-    def _restore(self, now: float) -> io.Count | None:
+    def _restore(self, now: float) -> io.CounterAdd | None:
         """The next checkpoint to look for, before the first read."""
-        if self._checkpoint is None or self.time.known:
+        if self._checkpoint is None or self.time.is_known:
             return None
         if self._to_restore is None:
             self._to_restore = list(self._checkpoint.names(now))
         return self._call(PendingCall(Purpose.RESTORE, self._to_restore[0])) if self._to_restore else None
 
-    def _found(self, now: float, call: PendingCall, total: int) -> io.Count | None:
+    def _found(self, now: float, call: PendingCall, total: int) -> io.CounterAdd | None:
         self._stored[call.name] = total
         self._to_restore.remove(call.name)
-        if 0 < total <= TIMESTAMP_MOST:
-            offset_ms = short_way(self._checkpoint.fleet_time(total, now) - now)
+        if 0 < total <= MAX_TIMESTAMP:
+            offset_ms = wrap_difference_ms(self._checkpoint.decode(total, now) - now)
             self._restored, self._to_restore = (is_exact(total), offset_ms), []
         return self._restore(now) or self._read(now)
 
@@ -193,8 +201,8 @@
         if self._restored is None:
             return
         exact, offset_ms = self._restored
-        ahead_ms = lead(total, now + offset_ms) if 0 < total <= TIMESTAMP_MOST else 0.0
-        if not -NAME_LIFE_MS <= ahead_ms <= RESTORED_BEHIND_MS + took_ms:
+        ahead_ms = lead_ms(total, now + offset_ms) if 0 < total <= MAX_TIMESTAMP else 0.0
+        if not -MAX_COUNTER_TTL_MS <= ahead_ms <= RESTORED_BEHIND_MS + took_ms:
             return
         self._estimate.restore(now, offset_ms, exact)
         if exact:
@@ -203,17 +211,17 @@
 
     def _to_store(self) -> None:
         """With the next call, or once the one that is out has been answered."""
-        if self._checkpoint is not None and self.time.known:
+        if self._checkpoint is not None and self.time.is_known:
             self._store_tries = STORE_TRIES
 
-    def _store(self, now: float) -> io.Count | None:
+    def _store(self, now: float) -> io.CounterAdd | None:
         estimate = self._estimate
-        offset_ms = self.time.offset_ms if estimate.established else estimate.proven_ms
+        offset_ms = self.time.offset_ms if estimate.is_established else estimate.proven_offset_ms
         if not self._store_tries or offset_ms is None:
             return None
         self._store_tries -= 1
         name = self._checkpoint.names(now)[0]
-        value = self._checkpoint.encode(offset_ms, estimate.established)
+        value = self._checkpoint.encode(offset_ms, estimate.is_established)
         amount = value - self._stored.get(name, 0)
         if not amount:
             self._store_tries = 0
@@ -227,16 +235,16 @@
 
     # The timestamp.
 
-    def _seen(self, now: float, total: int, took_ms: float) -> io.Count | None:
+    def _seen(self, now: float, total: int, took_ms: float) -> io.CounterAdd | None:
         """The timestamp, or 0 where there is none."""
-        if not self.time.known:
+        if not self.time.is_known:
             self._take_restored(now, total, took_ms)
         if total <= 0:
             return self._put(now, total, self.time.offset_ms, exact=True)
-        if total > TIMESTAMP_MOST:  # two first ones at once, of which one is about to be taken back
+        if total > MAX_TIMESTAMP:  # two first ones at once, of which one is about to be taken back
             return self._mend(now, total)
-        reading = Reading(total, self._read_at, now, lead(total, now + self.time.offset_ms))
-        if not self.time.known:
+        reading = TimestampReading(total, self._read_at, now, lead_ms(total, now + self.time.offset_ms))
+        if not self.time.is_known:
             if self._estimate.start(reading, took_ms):
                 self._to_store()
             self._wait(now, LOOK_AGAIN_MS)
@@ -248,36 +256,36 @@
         self._pace(now, -ahead_ms)
         return self._set_anew(now, total, ahead_ms)
 
-    def _set_anew(self, now: float, total: int, ahead_ms: float) -> io.Count | None:
+    def _set_anew(self, now: float, total: int, ahead_ms: float) -> io.CounterAdd | None:
         """Set a timestamp that is not `ahead_ms` ahead of the own time as it should be."""
-        proven_ms = self._estimate.proven_ms
-        if self._estimate.established:
-            if not 0.0 <= ahead_ms < LEAD_MOST_MS:
+        proven_ms = self._estimate.proven_offset_ms
+        if self._estimate.is_established:
+            if not 0.0 <= ahead_ms < MAX_LEAD_MS:
                 return self._put(now, total, self.time.offset_ms, exact=True)
         elif proven_ms is not None and proven_ms - (self.time.offset_ms + ahead_ms) > ABANDONED_MS:
             return self._put(now, total, proven_ms, exact=False)
         return None
 
-    def _mend(self, now: float, total: int) -> io.Count | None:
-        if self._estimate.established:
+    def _mend(self, now: float, total: int) -> io.CounterAdd | None:
+        if self._estimate.is_established:
             return self._put(now, total, self.time.offset_ms, exact=True)
         self._wait(now, LOOK_AGAIN_MS)
         return None
 
-    def _put(self, now: float, total: int, offset_ms: float, exact: bool) -> io.Count | None:
+    def _put(self, now: float, total: int, offset_ms: float, exact: bool) -> io.CounterAdd | None:
         """Set the timestamp, from this total, to the time that is so far ahead of the own clock."""
-        expected = timestamp(now + offset_ms, exact)
+        expected = encode_timestamp(now + offset_ms, exact)
         if expected == total:
             self._wait(now, self._wait_ms)
             return None
         return self._call(PendingCall(Purpose.SET, amount=expected - total, expected=expected))
 
-    def _was_set(self, now: float, call: PendingCall, total: int) -> io.Count | None:
+    def _was_set(self, now: float, call: PendingCall, total: int) -> io.CounterAdd | None:
         if total != call.expected:  # another gateway set it at the same time
             return self._call(PendingCall(Purpose.TAKE_BACK, amount=-call.amount))
-        self._estimate.was_set(total)
-        if not self.time.known:
-            self._estimate.found_none(now)
+        self._estimate.record_set(total)
+        if not self.time.is_known:
+            self._estimate.adopt_own_clock(now)
             self._wait_ms = LOOK_AGAIN_MS  # others may start now
             self._to_store()
         self._wait(now, self._wait_ms)
@@ -285,14 +293,14 @@
 
     def _pace(self, now: float, stale_ms: float) -> None:
         """When to read again: soon at first, then the more seldom the fresher the timestamp was."""
-        established = self._estimate.established
-        if not established and self._estimate.listening(now):
-            if self._estimate.unproven():
+        established = self._estimate.is_established
+        if not established and self._estimate.is_listening(now):
+            if self._estimate.has_unproven_bound():
                 self._wait(now, LOOK_AGAIN_MS)
                 return
             self._wait_ms *= self._slower
         elif not established:
-            self._estimate.established, self._wait_ms = True, self._usual_ms
+            self._estimate.is_established, self._wait_ms = True, self._usual_ms
             self._to_store()
         elif stale_ms > STALE_MS:
             self._wait_ms = max(WAIT_LEAST_MS, self._wait_ms * QUICKER)
--- a/cobaltline/brain.py
+++ b/cobaltline/gateway.py
@@ -10,21 +10,22 @@
 from collections import deque
 
 from . import interface as io
+from .backend_pool import BackendPool
 from .clock_checkpoint import ClockCheckpoint
-from .fleet import Fleet
-from .fleet_clock import NEEDED_WAIT_MS, FleetClock
-from .fleet_time import NAME_LIFE_MS, FleetTime
-from .interface import NEVER_RAN, BackendState, Outcome, Repeat
-from .quota import MILLI, NO_WINDOW, TRUST_SHARE, Bucket
-from .server import Server
-from .slow_start import KNOWN_SHARE, LATE_MS, MOVED_MS, ColdPacer, StartDates
+from .fleet_clock import NEEDED_READ_INTERVAL_MS, FleetClock
+from .fleet_time import MAX_COUNTER_TTL_MS, FleetTime
+from .interface import NEVER_RAN, BackendState, Idempotency, Outcome
+from .quota import MILLI_PER_UNIT, NO_WINDOW, TRUST_SHARE, Bucket
+from .slow_start import DISCOVERY_DELAY_MS, MIN_OFFSET_CHANGE_MS, RECENT_COUNT_FACTOR, ColdPacer, StartTimes
+from .tracked_backend import TrackedBackend
 
 DIRECT_GAIN = 0.002  # a good counter call adds so much to the share of borrows that go to the counter at once
 DIRECT_LOSS = 0.5  # and a failed one leaves so much of it; the rest is asked of the customer's home gateway
 SHORT_WAIT = 0.125  # of the time a store fills in: a home waits so long where its borrow came back short
 AWAY_MS = 1000.0  # a home that did not answer is passed over so long, or until it is heard
-WIRE = struct.Struct(">BBIIII")  # a message: version, kind, nonce, amount, wait, clock; then text, then crc32
-VERSION, ASK, GRANT, CLOCK = 1, 1, 2, 0xFFFFFFFF
+# a message: version, kind, nonce, amount, wait, clock; then text, then crc32
+HEADER = struct.Struct(">BBIIII")
+WIRE_VERSION, BORROW_REQUEST, BORROW_GRANT, CLOCK = 1, 1, 2, 0xFFFFFFFF
 GAP_FIRST_MS = 8.0  # spacing of counter calls after a first failure; doubles from there
 GAP_MOST_MS = 800.0  # and at most this, so that a counter that is back is found within a second
 GAP_EASE = 0.93  # where calls have crowded the counter, a good one shortens the spacing to so much of it
@@ -45,11 +46,12 @@
 TRIAL_LOAD = 4.0  # attempts at a backend whose last one failed count so much: few at a time until one is well
 SPOILT_MOST = 3  # answers spoilt or broken off in a row that say nothing against a backend
 CROSS_MALUS = 1.15  # a backend across zones counts as so much slower, where crossing has a price
-SAMPLE = 24  # backends all weighed for a choice; where there are more, own attempts tell too little of each
+# backends all weighed for a choice; where there are more, own attempts tell too little of each
+SAMPLE_SIZE = 24
 CHOICES = 6  # and so many are drawn by their present capacity
 CAPACITY_WEIGHT = 0.02  # of one backend that was drawn, in the mean present capacity and the number of all
 TARGET_AIM = 0.32  # latency, as a share of the aim, above which backends count as crowded
-FLEET_FIRST = 2.0  # attempts out for each backend, all gateways together, before anything is known
+INITIAL_SLOTS = 2.0  # attempts out for each backend, all gateways together, before anything is known
 HOLD_ODDS = 1.5  # a wait is worth it while so many times its expected length still leaves time to be served
 PACE_BURST = 3.0  # a limit on own attempts out of less than this is kept as a pace, so many at once
 MEMORY_MS = 2000.0  # time over which answers are averaged where few come; each weighs 0.05 at least
@@ -69,16 +71,16 @@
 
 
 class Attempt:
-    def __init__(self, backend: Server, no: int, sent: float):
+    def __init__(self, backend: TrackedBackend, no: int, sent: float):
         self.backend, self.no, self.sent, self.out, self.may_run = backend, no, sent, True, True
 
 
 class Request:
     def __init__(self, event: io.RequestArrived, cls: io.RequestClass, bucket: Bucket, now: float):
         self.id, self.cls, self.bucket = event.request, cls, bucket
-        self.cost = max(0, round(event.units * MILLI))
+        self.cost = max(0, round(event.units * MILLI_PER_UNIT))
         self.deadline = event.deadline_ms
-        self.aim = min(now + cls.aim_ms, self.deadline)
+        self.aim = min(now + cls.target_latency_ms, self.deadline)
         self.attempts: list[Attempt] = []
         self.done = self.stream = False
         self.drawn = False  # a backend has been drawn for it
@@ -89,128 +91,133 @@
         return next((a for a in self.attempts if a.may_run), None)
 
     def may_refuse(self) -> bool:
-        anywhere = self.cls.repeat is Repeat.KEYED and self.cls.key_scope == "all"
-        return anywhere or self.cls.repeat is Repeat.SAFE or self.anchor() is None
+        anywhere = self.cls.idempotency is Idempotency.KEYED and self.cls.key_scope == "all"
+        return anywhere or self.cls.idempotency is Idempotency.SAFE or self.anchor() is None
 
 
 class Gateway:
     def __init__(self, settings: io.Settings, seed: int):
-        self.s, self.rng = settings, random.Random(seed)
-        self.fleet_time = FleetTime(known=settings.clocks_in_step or not settings.counter)
+        self.cfg, self.rng = settings, random.Random(seed)
+        self.fleet_time = FleetTime(is_known=settings.clocks_in_sync or not settings.counter)
         clock_random = random.Random(seed ^ CLOCK_SEED)
         origin_ms = settings.clock_origin_ms
-        checkpoint = None if origin_ms is None else ClockCheckpoint(settings.me, origin_ms)
+        checkpoint = None if origin_ms is None else ClockCheckpoint(settings.node_id, origin_ms)
         self.fleet_clock = FleetClock(self.fleet_time, settings.gateways, clock_random, checkpoint)
         self.read_planned = False  # an alarm is set for it
-        self.starts = StartDates(settings, self.fleet_time)
+        self.starts = StartTimes(settings, self.fleet_time)
         self.cold_pacer = ColdPacer(settings, self.rng)
         self.need_time: list[Bucket] = []  # with requests that wait until the fleet's time is known
         self.buckets: dict[tuple[str, str], Bucket] = {}
         self.requests: dict[str, Request] = {}
-        self.flights: dict[tuple[str, int], tuple[Attempt, Request]] = {}
-        self.fleet = Fleet()
-        self.servers: dict[str, Server] = self.fleet.all
-        self.usable: list[Server] = self.fleet.usable
+        self.in_flight: dict[tuple[str, int], tuple[Attempt, Request]] = {}
+        self.pool = BackendPool()
+        self.tracked: dict[str, TrackedBackend] = self.pool.by_id
+        self.usable: list[TrackedBackend] = self.pool.usable
         self.remembered = False  # the first list held any
         self.capacity = 1.0  # the mean present capacity of the usable ones, as a part of the heaviest
         self.known = 0.0  # how many were usable, as a running mean over requests
         self.calls: dict[str, deque] = {}
         self.ready: list[tuple[float, int, Request]] = []
-        self.alarms: list[tuple[float, int, object, object]] = []
+        self.timers: list[tuple[float, int, object, object]] = []
         self.wake_at, self.seq = float("inf"), 0
-        self.aim = min((c.aim_ms for c in settings.classes.values()), default=1000.0)
-        self.mean, self.dev, self.mean_at = 0.2 * self.aim, 0.1 * self.aim, 0.0  # a guess at first
+        self.aim = min((c.target_latency_ms for c in settings.classes.values()), default=1000.0)
+        self.mean_ms, self.dev_ms, self.mean_at = 0.2 * self.aim, 0.1 * self.aim, 0.0  # a guess at first
         self.send_rate, self.rate_at = 0.0, 0.0
-        self.out, self.limit, self.strain, self.limit_at = 0, 0.0, TARGET_AIM / 2, 0.0  # own attempts out
+        # own attempts out
+        self.attempts_out, self.limit, self.slowness, self.limit_at = 0, 0.0, TARGET_AIM / 2, 0.0
         self.credit, self.credit_at, self.pace_at = PACE_BURST, 0.0, 0.0
         self.pressed, self.answer_at = False, 0.0
         self.retry_tokens = HEDGE_BURST / 2
-        self.gap, self.call_at, self.direct = 0.0, 0.0, 1.0
+        self.gap_ms, self.next_call_at, self.direct_share = 0.0, 0.0, 1.0
         self.gap_fit, self.failing = 0.0, False  # the spacing after a first failure; the last call failed
-        self.mean_cost, self.short = float(MILLI), 0.0  # of what waits for a call; thin borrows found short
-        self.way_ms = settings.counter_wait_ms  # there and back: the quickest answer of the counter of late
-        self.doubt = DOUBT  # share of counts that found no room where the store was thought well filled
+        # of what waits for a call; thin borrows found short
+        self.mean_cost, self.short_share = float(MILLI_PER_UNIT), 0.0
+        # there and back: the quickest answer of the counter of late
+        self.way_ms = settings.counter_timeout_ms
+        # share of counts that found no room where the store was thought well filled
+        self.overrun_share = DOUBT
         self.asked: dict[int, tuple[Bucket, int, int]] = {}  # asks out by nonce: customer, window, home
         self.away: dict[int, float] = {}  # gateways that did not answer: until when they are passed over
-        self.ask_ms = 2.0 * settings.counter_wait_ms + 10.0 * settings.tick_ms  # how long one is waited for
-        self.notes: dict[tuple[str, str], tuple[bool, float]] = {}  # of states, some of a backend
+        # how long one is waited for
+        self.peer_timeout_ms = 2.0 * settings.counter_timeout_ms + 10.0 * settings.tick_ms
+        self.logged: dict[tuple[str, str], tuple[bool, float]] = {}  # of states, some of a backend
         self.on = {
             io.RequestArrived: self.on_request,
             io.AttemptEnded: self.on_ended,
-            io.CountResult: self.on_count,
+            io.CounterResult: self.on_count,
             io.BackendsChanged: self.on_backends,
-            io.ClientLeft: self.on_left,
+            io.ClientDisconnected: self.on_left,
             io.PeerMessage: self.on_peer,
             io.Stopping: self.on_stopping,
             io.StreamStarted: self.on_stream,
         }
 
     def handle(self, now_ms: float, event) -> list:
-        self.acts, now = [], now_ms
-        while self.alarms and self.alarms[0][0] <= now:
-            when, _, what, arg = heapq.heappop(self.alarms)
+        self.actions, now = [], now_ms
+        while self.timers and self.timers[0][0] <= now:
+            when, _, what, arg = heapq.heappop(self.timers)
             if now - when > STALL_MS and what != self.give_up:
-                self.at(now + self.s.tick_ms, what, arg)  # an own pause: first what came meanwhile
+                self.at(now + self.cfg.tick_ms, what, arg)  # an own pause: first what came meanwhile
             else:
                 what(now, arg)
         if self.wake_at <= now + 0.01:  # also one that was rounded to just before its alarm
             self.wake_at = float("inf")
         if type(event) in self.on:
             self.on[type(event)](now, event)
-        if self.alarms and self.alarms[0][0] < self.wake_at:
-            self.wake_at = self.alarms[0][0]
-            self.acts.append(io.SetTimer("wake", max(0.0, self.wake_at - now)))
-        return self.acts
+        if self.timers and self.timers[0][0] < self.wake_at:
+            self.wake_at = self.timers[0][0]
+            self.actions.append(io.SetTimer("wake", max(0.0, self.wake_at - now)))
+        return self.actions
 
     def at(self, when: float, what, arg) -> None:
         self.seq += 1
-        heapq.heappush(self.alarms, (when, self.seq, what, arg))
+        heapq.heappush(self.timers, (when, self.seq, what, arg))
 
     def note(self, now: float, what: str, on: bool, backend: str = "") -> None:
         """A log line at the entry and at the exit of a state, at most one of a kind each second."""
-        last, at = self.notes.get((what, backend), (False, -1e9))
+        last, at = self.logged.get((what, backend), (False, -1e9))
         if on != last and now - at >= 1000.0:
-            self.notes[what, backend] = (on, now)
-            self.acts.append(io.Log(f"{backend} {what}: {'begins' if on else 'ends'}".lstrip()))
+            self.logged[what, backend] = (on, now)
+            self.actions.append(io.Log(f"{backend} {what}: {'begins' if on else 'ends'}".lstrip()))
 
     # Requests: quota first, then a backend.
 
     def on_request(self, now: float, e: io.RequestArrived) -> None:
-        plan = self.s.plans.get(e.plan)
+        plan = self.cfg.plans.get(e.plan)
         if plan is None:
-            self.acts.append(io.Reject(e.request))
+            self.actions.append(io.Reject(e.request))
             return
         bucket = self.bucket(now, plan, e.customer, e.first_gateway, e.spread)
-        bucket.visit(now)
-        req = Request(e, self.s.classes.get(e.kind) or io.RequestClass(), bucket, now)
+        bucket.record_arrival(now)
+        req = Request(e, self.cfg.classes.get(e.kind) or io.RequestClass(), bucket, now)
         self.requests[req.id] = req
-        self.at(req.deadline - 2 * self.s.tick_ms, self.give_up, req)
+        self.at(req.deadline - 2 * self.cfg.tick_ms, self.give_up, req)
         self.admit(now, req)
 
     def bucket(self, now: float, plan: io.Plan, customer: str, first: int, spread: int) -> Bucket:
         b = self.buckets.get((plan.name, customer))
         if b is None:
             b = self.buckets[plan.name, customer] = Bucket(
-                customer, plan, first, spread, self.s, now, self.fleet_time
+                customer, plan, first, spread, self.cfg, now, self.fleet_time
             )
-        b.touched = now
+        b.last_used_at = now
         return b
 
     def admit(self, now: float, req: Request | Ask) -> None:
         b = req.bucket
-        b.roll(now)
+        b.advance(now)
         if b.rate <= 0 or not b.waiting and b.tokens >= req.cost:
             req.paid = req.cost
             b.tokens -= req.cost
             b.spend(req.cost)
             self.granted(now, req)
-        elif not isinstance(req, Ask) and self.trusted(b, req.cost) and b.spare_take(now, req.cost):
+        elif not isinstance(req, Ask) and self.trusted(b, req.cost) and b.take_spare(now, req.cost):
             b.spend(req.cost)
-            b.owed += req.cost
-            b.uncounted += 1
+            b.uncounted_tokens += req.cost
+            b.uncounted_requests += 1
             self.granted(now, req)
-            counts = b.quick or not self.trusted(b, req.cost)  # the next one has not to wait
-            if counts and not b.pending and b.sure_of_window(now):
+            counts = b.quick_streak or not self.trusted(b, req.cost)  # the next one has not to wait
+            if counts and not b.pending and b.knows_window(now):
                 self.borrow(now, b)
         elif b.pending:
             b.waiting.append(req)
@@ -224,33 +231,33 @@
         """Whether what this customer asks is let in at once and counted behind. Its store has to have been
         seen well filled, and the request to fit this gateway's part of what was left. Where that is less than
         a request, doubt decides: trust may cost no more by what then finds no room than it saves in calls."""
-        if not b.filled or b.quick > 1 or self.gap > 4.0 * GAP_FIRST_MS:
+        if not b.is_filled or b.quick_streak > 1 or self.gap_ms > 4.0 * GAP_FIRST_MS:
             return False
-        asked = b.owed + cost
-        if asked <= TRUST_SHARE * b.level * b.part:
+        asked = b.uncounted_tokens + cost
+        if asked <= TRUST_SHARE * b.level * b.share:
             return True
-        worth_it = self.doubt * b.plan.overrun_cost <= DOUBT_PART * self.s.counter_price
-        return worth_it and b.uncounted < UNCOUNTED_MOST and asked <= TRUST_SHARE * b.level
+        worth_it = self.overrun_share * b.plan.overrun_cost <= DOUBT_PART * self.cfg.counter_price
+        return worth_it and b.uncounted_requests < UNCOUNTED_MOST and asked <= TRUST_SHARE * b.level
 
     def granted(self, now: float, req: Request | Ask) -> None:
         """Inside the rate. Where the plan limits attempts out, it may have to wait for one to end."""
         if isinstance(req, Ask):
-            self.tell(now, req.peer, GRANT, req.nonce, req.cost)
-        elif req.bucket.plan.open_limit and req.bucket.open >= req.bucket.open_cap:
-            req.bucket.gate.append(req)
-            self.at(req.aim - self.mean, self.give_up, req)
+            self.tell(now, req.peer, BORROW_GRANT, req.nonce, req.cost)
+        elif req.bucket.plan.max_concurrency and req.bucket.open_count >= req.bucket.max_open:
+            req.bucket.gated.append(req)
+            self.at(req.aim - self.mean_ms, self.give_up, req)
         else:
             self.dispatch(now, req)
 
     def turned_down(self, now: float, req: Request | Ask) -> None:
         """A source said no. While the counter fails that is a home with no more than its own part of what may
         go unconfirmed under a ceiling: the part kept here is for its own requests."""
-        own = req.bucket.plan.ceiling_rate > 0 and self.gap > GAP_FIRST_MS and not isinstance(req, Ask)
+        own = req.bucket.plan.ceiling_rate > 0 and self.gap_ms > GAP_FIRST_MS and not isinstance(req, Ask)
         (self.alone if own else self.refuse)(now, req)
 
     def alone(self, now: float, req: Request | Ask) -> None:
         """Nobody to ask just now: the local share decides."""
-        fits = req.bucket.local_take(now, req.cost, self.rng.random(), self.short, self.mean_cost)
+        fits = req.bucket.take_local(now, req.cost, self.rng.random(), self.short_share, self.mean_cost)
         (self.granted if fits else self.refuse)(now, req)
 
     def refuse(self, now: float, req: Request | Ask) -> None:
@@ -258,13 +265,13 @@
         b, plan = req.bucket, req.bucket.plan
         if isinstance(req, Ask):
             # Each is told a turn of its own, as they would all come back at the same moment.
-            b.promised = min(max(b.promised, b.retry_at, now) + req.cost / b.rate, now + b.fill_ms / 2)
-            self.tell(now, req.peer, GRANT, req.nonce, 0, max(1.0, b.promised - now))
-        elif plan.excess_worth > plan.overrun_cost and not self.ready and b.spare_take(now, req.cost):
+            b.promised_at = min(max(b.promised_at, b.retry_at, now) + req.cost / b.rate, now + b.fill_ms / 2)
+            self.tell(now, req.peer, BORROW_GRANT, req.nonce, 0, max(1.0, b.promised_at - now))
+        elif plan.excess_worth > plan.overrun_cost and not self.ready and b.take_spare(now, req.cost):
             self.dispatch(now, req, spare=True)
         else:
-            wait = max(0.0, b.retry_at - now) if self.s.may_advise else 0.0
-            self.finish(now, req, io.Reject(req.id, min(wait, self.s.most_retry_after_ms)))
+            wait = max(0.0, b.retry_at - now) if self.cfg.may_advise else 0.0
+            self.finish(now, req, io.Reject(req.id, min(wait, self.cfg.most_retry_after_ms)))
 
     # Where tokens come from: the counter, or the customer's home gateway with the counter crowded or lost.
 
@@ -272,21 +279,25 @@
         """One source for all that waits here. Home is asked where calls to the counter fail, as it borrows
         for the whole set. Guards against a counter that is down, slow or crowded by many gateways; costs two
         short messages a borrow, and a wait where home stands still."""
-        if not b.sure_of_window(now):
+        if not b.knows_window(now):
             self.await_time(now, b)
             return
-        up = (h for h in b.homes if h == self.s.me or self.away.get(h, 0.0) <= now)  # asks end here
-        home = self.s.me if any(isinstance(x, Ask) for x in b.waiting) else next(up, self.s.me)
-        counter = self.s.counter and now >= self.call_at + self.turn(b) and not b.tried & 1
-        if b.tried < 6 and home != self.s.me and (not counter or self.rng.random() >= self.direct):
+        up = (h for h in b.homes if h == self.cfg.node_id or self.away.get(h, 0.0) <= now)  # asks end here
+        home = self.cfg.node_id if any(isinstance(x, Ask) for x in b.waiting) else next(up, self.cfg.node_id)
+        counter = self.cfg.counter and now >= self.next_call_at + self.turn(b) and not b.sources_tried & 1
+        if (
+            b.sources_tried < 6
+            and home != self.cfg.node_id
+            and (not counter or self.rng.random() >= self.direct_share)
+        ):
             self.seq += 1
-            b.pending, b.tried = 1, b.tried + 2
+            b.pending, b.sources_tried = 1, b.sources_tried + 2
             self.asked[self.seq] = (b, b.window, home)
             text = f"{b.first} {b.spread} {b.plan.name} {b.key}"
-            self.tell(now, home, ASK, self.seq, b.want(1.0), text=text)
-            self.at(now + self.ask_ms, self.missed, self.seq)
+            self.tell(now, home, BORROW_REQUEST, self.seq, b.lease_size(1.0), text=text)
+            self.at(now + self.peer_timeout_ms, self.missed, self.seq)
         elif counter:
-            b.tried |= 1
+            b.sources_tried |= 1
             self.borrow(now, b)
         else:
             self.recheck(now, b, True)
@@ -296,7 +307,7 @@
     def await_time(self, now: float, b: Bucket) -> None:
         """What waits here waits on while the counter is asked for the time; else the local share decides."""
         self.read_time(now, needed=True)
-        if self.fleet_clock.deciding(now):
+        if self.fleet_clock.is_resolving(now):
             b.pending = 1
             self.need_time.append(b)
         else:
@@ -305,9 +316,9 @@
     def read_time(self, now: float, needed: bool = False) -> None:
         self.count(self.fleet_clock.read(now, needed))
 
-    def count(self, call: io.Count | None) -> None:
+    def count(self, call: io.CounterAdd | None) -> None:
         if call is not None:
-            self.acts.append(call)
+            self.actions.append(call)
 
     def on_stopping(self, now: float, _event: io.Stopping) -> None:
         self.count(self.fleet_clock.stop(now))
@@ -315,38 +326,38 @@
     def plan_read(self) -> None:
         if not self.read_planned:
             self.read_planned = True
-            self.at(self.fleet_clock.next_at, self.planned_read, None)
+            self.at(self.fleet_clock.next_read_at, self.planned_read, None)
 
     def planned_read(self, now: float, _arg) -> None:
         self.read_planned = False
         self.read_time(now)
-        if not self.fleet_clock.reading():
+        if not self.fleet_clock.has_pending_call():
             self.plan_read()  # one that was needed has put it off
 
-    def on_time(self, now: float, e: io.CountResult) -> None:
-        known, before_ms = self.fleet_time.known, self.fleet_time.offset_ms
-        call = self.fleet_clock.answered(now, e)
+    def on_time(self, now: float, e: io.CounterResult) -> None:
+        known, before_ms = self.fleet_time.is_known, self.fleet_time.offset_ms
+        call = self.fleet_clock.on_result(now, e)
         moved_ms = self.fleet_time.offset_ms - before_ms
-        if self.fleet_time.known and (not known or abs(moved_ms) > MOVED_MS):
-            self.acts.append(io.Log(f"fleet time: own clock {self.fleet_time.offset_ms:+.0f} ms"))
+        if self.fleet_time.is_known and (not known or abs(moved_ms) > MIN_OFFSET_CHANGE_MS):
+            self.actions.append(io.Log(f"fleet time: own clock {self.fleet_time.offset_ms:+.0f} ms"))
         self.count(call)
         if call is None:
             self.plan_read()
-        elif not self.fleet_time.known:
+        elif not self.fleet_time.is_known:
             return
-        self.starts.time_moved(self.servers.values())
+        self.starts.on_offset_changed(self.tracked.values())
         waiting, self.need_time = self.need_time, []
         for b in waiting:
-            if b.sure_of_window(now):
+            if b.knows_window(now):
                 b.pending = 0
                 self.refill(now, b)
-            elif self.fleet_clock.deciding(now):
+            elif self.fleet_clock.is_resolving(now):
                 self.need_time.append(b)
             else:
                 b.pending = 0
                 self.recheck(now, b, True)
         if self.need_time:
-            self.at(now + NEEDED_WAIT_MS, self.read_needed_time, None)
+            self.at(now + NEEDED_READ_INTERVAL_MS, self.read_needed_time, None)
 
     def read_needed_time(self, now: float, _arg) -> None:
         if self.need_time:
@@ -357,36 +368,36 @@
         for large requests tell of more units, of worth and of quota."""
         most = max((x.cost for x in b.waiting), default=0)
         self.mean_cost += COST_WEIGHT * (most - self.mean_cost)
-        return self.gap * (min(CALL_SIZES, self.mean_cost / max(1, most)) - 1.0)
+        return self.gap_ms * (min(CALL_SIZES, self.mean_cost / max(1, most)) - 1.0)
 
     def tell(self, now: float, peer: int, kind: int, nonce: int, amount: int, wait=0.0, text="") -> None:
-        body = WIRE.pack(VERSION, kind, nonce, min(amount, CLOCK), int(wait), self.message_clock(now))
+        body = HEADER.pack(WIRE_VERSION, kind, nonce, min(amount, CLOCK), int(wait), self.message_clock(now))
         body += text.encode()
         if len(body) <= 252:
-            self.acts.append(io.Tell(body + zlib.crc32(body).to_bytes(4), peer))
+            self.actions.append(io.SendPeerMessage(body + zlib.crc32(body).to_bytes(4), peer))
 
     def on_peer(self, now: float, e: io.PeerMessage) -> None:
         """Believed only if whole, of this version and in time; no more is taken than was asked for, once."""
         body = e.payload[:-4]
-        good = len(body) >= WIRE.size and zlib.crc32(body).to_bytes(4) == e.payload[-4:]
-        if not good or body[0] != VERSION:
+        good = len(body) >= HEADER.size and zlib.crc32(body).to_bytes(4) == e.payload[-4:]
+        if not good or body[0] != WIRE_VERSION:
             return
-        _, kind, nonce, amount, wait, clock = WIRE.unpack_from(body)
+        _, kind, nonce, amount, wait, clock = HEADER.unpack_from(body)
         self.away.pop(e.sender, None)
-        if kind == ASK and (self.message_clock(now) - clock) & CLOCK < self.ask_ms / 2:
-            parts = body[WIRE.size :].decode(errors="replace").split(" ", 3)
-            if len(parts) == 4 and parts[2] in self.s.plans and (parts[0] + parts[1]).isdecimal():
-                b = self.bucket(now, self.s.plans[parts[2]], parts[3], int(parts[0]), int(parts[1]))
-                if b.home and amount > 0:
+        if kind == BORROW_REQUEST and (self.message_clock(now) - clock) & CLOCK < self.peer_timeout_ms / 2:
+            parts = body[HEADER.size :].decode(errors="replace").split(" ", 3)
+            if len(parts) == 4 and parts[2] in self.cfg.plans and (parts[0] + parts[1]).isdecimal():
+                b = self.bucket(now, self.cfg.plans[parts[2]], parts[3], int(parts[0]), int(parts[1]))
+                if b.home_rank and amount > 0:
                     self.admit(now, Ask(b, amount, e.sender, nonce))
-        elif kind == GRANT and self.asked.get(nonce, (None, 0, -1))[2] == e.sender:
+        elif kind == BORROW_GRANT and self.asked.get(nonce, (None, 0, -1))[2] == e.sender:
             b, win, _ = self.asked.pop(nonce)
-            b.roll(now)
+            b.advance(now)
             b.pending = 0
             if not amount:
                 b.retry_at = now + min(wait, b.fill_ms)
             elif win == b.window:
-                b.lend(now, min(amount, b.want(1.0)))
+                b.add_lease(now, min(amount, b.lease_size(1.0)))
             self.recheck(now, b, False)
 
     def message_clock(self, now: float) -> int:
@@ -404,18 +415,18 @@
     # The counter.
 
     def call(self, b: Bucket, kind: str, win: int, amount: int) -> None:
-        name = f"{b.count_name}/{win}"
+        name = f"{b.counter_name}/{win}"
         self.calls.setdefault(name, deque()).append((b, kind, win))
-        self.acts.append(io.Count(name, amount / MILLI, NAME_LIFE_MS))
+        self.actions.append(io.CounterAdd(name, amount / MILLI_PER_UNIT, MAX_COUNTER_TTL_MS))
 
     def borrow(self, now: float, b: Bucket) -> None:
         """One call: a lease for what waits, and with it what was let in or lapsed here since the last."""
-        b.roll(now)
-        b.lease, b.pending = b.want(self.direct), 1
-        self.call_at = max(self.call_at, now + self.gap)
-        self.call(b, "lease", b.window, b.lease + b.report())
+        b.advance(now)
+        b.lease, b.pending = b.lease_size(self.direct_share), 1
+        self.next_call_at = max(self.next_call_at, now + self.gap_ms)
+        self.call(b, "lease", b.window, b.lease + b.take_unreported())
 
-    def on_count(self, now: float, e: io.CountResult) -> None:
+    def on_count(self, now: float, e: io.CounterResult) -> None:
         if self.fleet_clock.owns(e.name):
             self.on_time(now, e)
             return
@@ -429,37 +440,39 @@
         if e.outcome is Outcome.RESET or e.outcome is Outcome.OK and not good:  # the counter itself is well
             self.untold(now, b, kind, win, e.outcome is Outcome.OK)
             return
-        self.direct = min(1.0, self.direct + DIRECT_GAIN) if good else self.direct * DIRECT_LOSS
+        self.direct_share = (
+            min(1.0, self.direct_share + DIRECT_GAIN) if good else self.direct_share * DIRECT_LOSS
+        )
         if good:
             self.way_ms = min(e.elapsed_ms, self.way_ms + WAY_WEIGHT * (e.elapsed_ms - self.way_ms))
-        if good and e.elapsed_ms - self.way_ms > SLOW_SHARE * (self.s.counter_wait_ms - self.way_ms):
-            self.gap, self.failing = min(GAP_MOST_MS, max(GAP_FIRST_MS, self.gap * GAP_TIGHT)), False
+        if good and e.elapsed_ms - self.way_ms > SLOW_SHARE * (self.cfg.counter_timeout_ms - self.way_ms):
+            self.gap_ms, self.failing = min(GAP_MOST_MS, max(GAP_FIRST_MS, self.gap_ms * GAP_TIGHT)), False
         elif good:
             # Halved at each good call, doubled at each failed one, it would settle where every second fails.
-            ease = 0.5 if self.gap > self.gap_fit else GAP_EASE
-            self.gap, self.failing = self.gap * ease if self.gap > GAP_FIRST_MS else 0.0, False
+            ease = 0.5 if self.gap_ms > self.gap_fit else GAP_EASE
+            self.gap_ms, self.failing = self.gap_ms * ease if self.gap_ms > GAP_FIRST_MS else 0.0, False
         else:
             # Refused, silent, slow or crowded alike: fewer calls, and the local share meanwhile.
-            self.gap = min(GAP_MOST_MS, max(GAP_FIRST_MS, self.gap * 2.0))
+            self.gap_ms = min(GAP_MOST_MS, max(GAP_FIRST_MS, self.gap_ms * 2.0))
             if not self.failing:  # more in a row tell of a counter that is away, not of how much it bears
-                self.gap_fit, self.failing = self.gap, True
-            self.call_at = max(self.call_at, now + self.gap)
-        self.note(now, "counter failing", self.gap > 4 * GAP_FIRST_MS)
-        self.counted(now, b, kind, win, good, round((e.total or 0.0) * MILLI))
+                self.gap_fit, self.failing = self.gap_ms, True
+            self.next_call_at = max(self.next_call_at, now + self.gap_ms)
+        self.note(now, "counter failing", self.gap_ms > 4 * GAP_FIRST_MS)
+        self.counted(now, b, kind, win, good, round((e.total or 0.0) * MILLI_PER_UNIT))
 
     def untold(self, now: float, b: Bucket, kind: str, win: int, added: bool) -> None:
         """No total, as the answer was spoilt or its connection broke. What was added for a lease that is not
         known to fit is taken off with the next call, which may go to the counter again, once."""
-        b.roll(now)
+        b.advance(now)
         if added and kind == "lease" and win == b.window:
             b.added += b.lease
-            b.owed -= b.lease
-        if not b.retold:
-            b.retold, b.tried = True, b.tried & ~1
+            b.uncounted_tokens -= b.lease
+        if not b.was_asked_again:
+            b.was_asked_again, b.sources_tried = True, b.sources_tried & ~1
         self.counted(now, b, kind, win, False, 0)
 
     def counted(self, now: float, b: Bucket, kind: str, win: int, good: bool, total: int) -> None:
-        b.roll(now)
+        b.advance(now)
         if kind == "prev":
             self.window_before(now, b, win, total if good else None)
         elif kind == "lease":
@@ -474,21 +487,21 @@
     def window_before(self, now: float, b: Bucket, win: int, total: int | None) -> None:
         """How the window before ended has come, or failed to. Not known, it says nothing against what was
         taken from a quota; under a ceiling the lease goes back, and whoever comes next opens the window."""
-        here = win == b.window_before()
-        at_stake = b.opening is not None and b.plan.ceiling_rate > 0
-        if here and total is None and at_stake and b.opening_tries < OPENING_TRIES:
-            b.opening_tries += 1
+        here = win == b.previous_window()
+        at_stake = b.correction is not None and b.plan.ceiling_rate > 0
+        if here and total is None and at_stake and b.previous_total_tries < OPENING_TRIES:
+            b.previous_total_tries += 1
             self.call(b, "prev", win, 0)
             return
-        amount = b.carry(total) if here and total is not None else 0
-        opening, b.opening = b.opening, None
+        amount = b.carry_over(total) if here and total is not None else 0
+        opening, b.correction = b.correction, None
         if opening is None:
             self.put_right(b, amount)
             return
         b.pending = 0
         given_back = here and total is None and b.plan.ceiling_rate > 0
         if given_back:
-            b.opened = NO_WINDOW
+            b.counted_window = NO_WINDOW
             self.put_right(b, opening - b.lease)
         elif here:
             self.keep_lease(now, b, opening + amount)
@@ -504,14 +517,14 @@
         """The borrow has answered: keep what fits, return the excess. Whoever opens a window has to hear how
         the one before ended: whether what waits here waits for that, which it does where more than a request
         of a quota is at stake."""
-        trusted = b.filled
-        opens, amount = b.take_in(now, total)
+        trusted = b.is_filled
+        opens, amount = b.apply_total(now, total)
         if trusted:
-            self.doubt += COST_WEIGHT * ((b.level < 0) - self.doubt)
+            self.overrun_share += COST_WEIGHT * ((b.level < 0) - self.overrun_share)
         if opens:
-            self.call(b, "prev", b.window_before(), 0)
+            self.call(b, "prev", b.previous_window(), 0)
         if opens and (b.plan.ceiling_rate > 0 or len(b.waiting) > 1):
-            b.pending, b.opening, b.opening_tries = 1, amount, 1
+            b.pending, b.correction, b.previous_total_tries = 1, amount, 1
             return True
         self.keep_lease(now, b, amount)
         return False
@@ -520,24 +533,24 @@
         """Keep what the store holds of the lease. `amount` puts the count right beside that."""
         need = b.waiting[0].cost if b.waiting else 0
         keep = max(0, min(b.lease, int(b.level)))
-        if b.thin and need:
-            self.short += COST_WEIGHT * ((keep < need) - self.short)
+        if b.has_thin_share and need:
+            self.short_share += COST_WEIGHT * ((keep < need) - self.short_share)
         if keep < need:  # not even one request fits: try again when the store has refilled that far
             b.short_at = now
-            wanted = max(need, SCARCE_SHARE * b.capacity) if self.gap else need
-            b.retry_at = now + max(self.s.tick_ms, min(b.fill_ms, (wanted - b.level) / b.rate))
-            if b.home and self.direct < 0.5:  # a few at a time, with fewer calls
+            wanted = max(need, SCARCE_SHARE * b.capacity) if self.gap_ms else need
+            b.retry_at = now + max(self.cfg.tick_ms, min(b.fill_ms, (wanted - b.level) / b.rate))
+            if b.home_rank and self.direct_share < 0.5:  # a few at a time, with fewer calls
                 b.retry_at = max(b.retry_at, now + b.fill_ms * SHORT_WAIT)
             keep = 0
-        b.lend(now, keep)
-        if b.home and self.direct < 0.5:  # with the next call: nobody else borrows for it
-            b.owed -= b.lease - keep
+        b.add_lease(now, keep)
+        if b.home_rank and self.direct_share < 0.5:  # with the next call: nobody else borrows for it
+            b.uncounted_tokens -= b.lease - keep
         else:
             amount -= b.lease - keep
         self.put_right(b, amount)
 
     def recheck(self, now: float, b: Bucket, failed: bool) -> None:
-        queue, b.waiting, b.tried, b.retold = b.waiting, deque(), 0, False
+        queue, b.waiting, b.sources_tried, b.was_asked_again = b.waiting, deque(), 0, False
         for req in (x for x in queue if not x.done):
             (self.alone if failed else self.admit)(now, req)
 
@@ -545,81 +558,81 @@
 
     def on_backends(self, now: float, e: io.BackendsChanged) -> None:
         if e.kind is io.ListKind.FAILED:
-            if self.s.must_ask:
-                self.at(now + min(RESUBSCRIBE_MS, self.s.ask_every_ms / 4), self.subscribe, None)
+            if self.cfg.must_poll:
+                self.at(now + min(RESUBSCRIBE_MS, self.cfg.poll_interval_ms / 4), self.subscribe, None)
             return
-        if e.kind is not io.ListKind.CHANGES and self.fleet.keep(entry.id for entry in e.backends):
-            self.cold_pacer.backends_left(now)
+        if e.kind is not io.ListKind.DELTA and self.pool.retain(entry.id for entry in e.backends):
+            self.cold_pacer.on_backends_left(now)
         if self.limit <= 0:  # the first list
             self.remembered = bool(e.backends)
-            if not self.s.clocks_in_step:
-                self.starts.begin(e.backends)
+            if not self.cfg.clocks_in_sync:
+                self.starts.load_first_list(e.backends)
             self.at(now + IDLE_MS, self.sweep, None)
-            if not self.fleet_time.known:
+            if not self.fleet_time.is_known:
                 self.read_time(now)
-            if self.s.must_ask:
+            if self.cfg.must_poll:
                 self.subscribe(now, None)
-            self.limit = min(self.s.most_out, FLEET_FIRST * len(e.backends) / max(1, self.s.gateways))
+            self.limit = min(self.cfg.most_out, INITIAL_SLOTS * len(e.backends) / max(1, self.cfg.gateways))
         for entry in e.backends:
-            server = self.servers.get(entry.id)
-            another = server is None or entry.started_ms != server.started  # process: nothing is known of it
+            server = self.tracked.get(entry.id)
+            another = server is None or entry.started_ms != server.start_ms  # process: nothing is known of it
             if server is not None:
                 if server.usable and (another or entry.state is not BackendState.UP):
-                    self.cold_pacer.backends_left(now)
-                self.fleet.retire(server)
+                    self.cold_pacer.on_backends_left(now)
+                self.pool.mark_unusable(server)
             if another:
-                server = Server(entry, now, self.rng.random())
-                self.starts.learn(server, now, self.most_age_ms(e))
+                server = TrackedBackend(entry, now, self.rng.random())
+                self.starts.record_start(server, now, self.max_age_ms(e))
             server.update(entry)
-            (self.fleet.enlist if entry.state is BackendState.UP else self.fleet.retire)(server)
-        if e.kind is io.ListKind.CHANGES and self.send_rate <= 0.0:  # the first list may come in parts
-            more = min(self.s.most_out, FLEET_FIRST * len(self.usable) / max(1, self.s.gateways))
+            (self.pool.mark_usable if entry.state is BackendState.UP else self.pool.mark_unusable)(server)
+        if e.kind is io.ListKind.DELTA and self.send_rate <= 0.0:  # the first list may come in parts
+            more = min(self.cfg.most_out, INITIAL_SLOTS * len(self.usable) / max(1, self.cfg.gateways))
             self.limit = max(self.limit, more)
         if self.send_rate <= 0.0:
             self.known = len(self.usable)
         self.pump(now)
 
-    def most_age_ms(self, e: io.BackendsChanged) -> float:
+    def max_age_ms(self, e: io.BackendsChanged) -> float:
         """How long ago what this list tells of for the first time can have started."""
-        at_start = e.kind is io.ListKind.REMEMBERED or not self.remembered and self.send_rate <= 0.0
-        return math.inf if at_start or self.s.clocks_in_step else LATE_MS + e.silent_ms
+        at_start = e.kind is io.ListKind.CACHED or not self.remembered and self.send_rate <= 0.0
+        return math.inf if at_start or self.cfg.clocks_in_sync else DISCOVERY_DELAY_MS + e.outage_ms
 
     def subscribe(self, now: float, _arg) -> None:
-        self.acts.append(io.Subscribe())
+        self.actions.append(io.Subscribe())
 
-    def avoid(self, now: float, x: Server, least: float) -> None:
+    def penalize(self, now: float, x: TrackedBackend, least: float) -> None:
         """No service: slow as the time waited in vain, twice as slow as before, forgotten with time. Guards
         against backends silent, gone, standing still, full, or failing at once and so looking idle and quick;
         where all look so, none is avoided. One merely slow answer sends work elsewhere for some seconds."""
-        most = AVOID_TIMES * max(self.aim, self.mean)
-        x.failed = True
-        x.latency, x.latency_at = min(most, max(2.0 * x.expected(now, self.mean), least)), now
-        self.note(now, "avoided", x.latency == most, x.id)
+        most = AVOID_TIMES * max(self.aim, self.mean_ms)
+        x.has_failed = True
+        x.latency_ms, x.latency_at = min(most, max(2.0 * x.expected_ms(now, self.mean_ms), least)), now
+        self.note(now, "avoided", x.latency_ms == most, x.id)
 
     def borne(self) -> float:
         """Over how many backends at least the load of cold ones is worked out."""
-        return min(1.0, KNOWN_SHARE / max(self.s.fall_multiple, 1e-3)) * self.known
+        return min(1.0, RECENT_COUNT_FACTOR / max(self.cfg.fall_multiple, 1e-3)) * self.known
 
-    def warm(self, now: float, x: Server, warmth: float) -> bool:
+    def warm(self, now: float, x: TrackedBackend, warmth: float) -> bool:
         """Slow start: a cold backend gets its cold share of what a warm one gets from this gateway."""
         # Where most of the others have gone, the rest can bear no more for that.
         rate = self.send_rate / max(1.0, len(self.usable), self.borne()) * warmth
-        return self.cold_pacer.ready(x, now, rate)
+        return self.cold_pacer.may_send(x, now, rate)
 
-    def draw(self, now: float, req: Request) -> list[Server]:
+    def draw(self, now: float, req: Request) -> list[TrackedBackend]:
         """Candidates out of many backends, each with odds by its present capacity. Of so many a gateway sees
         too little to tell which is loaded: the whole fleet's choices have to add up to what each can bear. A
         cold one has but one chance with each request, and is not weighed against others: it gets no more from
         the whole fleet where the others fail."""
-        found: list[Server] = []
+        found: list[TrackedBackend] = []
         first, req.drawn = not req.drawn, True
         chance = len(self.usable) / max(self.capacity * len(self.usable), self.borne())
-        for _ in range(SAMPLE):
+        for _ in range(SAMPLE_SIZE):
             x = self.usable[int(self.rng.random() * len(self.usable))]
-            warmth = self.starts.warmth(x, now)
-            part = x.weight * warmth / self.fleet.heaviest
+            warmth = self.starts.warm_share(x, now)
+            part = x.weight * warmth / self.pool.max_weight
             self.capacity += CAPACITY_WEIGHT * (part - self.capacity)
-            part /= TRIAL_LOAD if x.failed else 1.0
+            part /= TRIAL_LOAD if x.has_failed else 1.0
             if warmth < 1.0 and first and self.rng.random() < part * chance:
                 return [x]
             first = False
@@ -629,33 +642,39 @@
                     break
         return found
 
-    def pick(self, now: float, req: Request) -> Server | None:
+    def pick(self, now: float, req: Request) -> TrackedBackend | None:
         anchor, cls = req.anchor(), req.cls
-        if anchor is not None and cls.repeat is Repeat.KEYED and now >= anchor.sent + cls.key_ttl_ms * 0.95:
+        if (
+            anchor is not None
+            and cls.idempotency is Idempotency.KEYED
+            and now >= anchor.sent + cls.key_ttl_ms * 0.95
+        ):
             return None
         tried = {a.backend.id for a in req.attempts}
         pool = self.usable
-        if anchor is not None and cls.repeat is Repeat.KEYED and cls.key_scope != "all":
-            pool = self.fleet.scope("zone" if cls.key_scope == "zone" else "cell", anchor.backend)
-        large = pool is self.usable and len(pool) > SAMPLE
+        if anchor is not None and cls.idempotency is Idempotency.KEYED and cls.key_scope != "all":
+            pool = self.pool.usable_in_same("zone" if cls.key_scope == "zone" else "cell", anchor.backend)
+        large = pool is self.usable and len(pool) > SAMPLE_SIZE
         if large:
             pool = self.draw(now, req)
-        elif len(pool) > SAMPLE:
-            pool = self.rng.sample(pool, SAMPLE)
+        elif len(pool) > SAMPLE_SIZE:
+            pool = self.rng.sample(pool, SAMPLE_SIZE)
         best, best_score = None, float("inf")
         for x in pool:
             if x.id in tried:
                 continue
             # What was drawn by its present capacity is not weighed by it once more.
-            warmth, weight = (1.0, 1.0) if large else (self.starts.warmth(x, now), x.weight)
+            warmth, weight = (1.0, 1.0) if large else (self.starts.warm_share(x, now), x.weight)
             if warmth < 1.0 and not self.warm(now, x, warmth):
                 continue
             # Told loads are old: all gateways would follow them to one backend.
-            load = len(x.out) * (TRIAL_LOAD if x.failed else 1.0)
+            load = len(x.open_attempts) * (TRIAL_LOAD if x.has_failed else 1.0)
             # What may run again tries out a backend whose failure fades; the rest goes by the last seen.
-            latency = x.expected(now if cls.repeat is Repeat.SAFE else x.latency_at, self.mean)
+            latency = x.expected_ms(
+                now if cls.idempotency is Idempotency.SAFE else x.latency_at, self.mean_ms
+            )
             score = (load + 1.0) * latency / (weight * warmth) * (1.0 + 0.02 * self.rng.random())
-            score *= CROSS_MALUS if x.zone != self.s.zone and self.s.cross_zone_price > 0 else 1.0
+            score *= CROSS_MALUS if x.zone != self.cfg.zone and self.cfg.cross_zone_price > 0 else 1.0
             if score < best_score:
                 best, best_score = x, score
         return best
@@ -665,28 +684,28 @@
         self.pressed = self.pressed or not free
         server = self.pick(now, req) if free else None
         ahead = sum(1 for key, _, other in self.ready if key <= -req.price and not other.done)
-        queue_ms = (ahead + max(0.0, 1.0 - self.credit)) * self.mean / max(self.limit, 1e-3)
+        queue_ms = (ahead + max(0.0, 1.0 - self.credit)) * self.mean_ms / max(self.limit, 1e-3)
         if server is not None:
             self.send(now, req, server)
         elif spare:
             self.finish(now, req, io.Reject(req.id))
-        elif now + queue_ms * HOLD_ODDS >= req.aim - self.mean - self.dev:
+        elif now + queue_ms * HOLD_ODDS >= req.aim - self.mean_ms - self.dev_ms:
             self.end(now, req)  # at once, rather than after a wait in vain
         else:
             self.seq += 1
             heapq.heappush(self.ready, (-req.price, self.seq, req))
             self.pace(now)
-            self.at(req.aim - self.mean - self.dev, self.give_up, req)
+            self.at(req.aim - self.mean_ms - self.dev_ms, self.give_up, req)
 
     def free(self, now: float) -> bool:
         """A small limit is kept as a pace: rounded up to one at each gateway it would bound nothing."""
-        gain = self.limit / self.mean * (now - self.credit_at)
+        gain = self.limit / self.mean_ms * (now - self.credit_at)
         self.credit, self.credit_at = min(PACE_BURST, self.credit + gain), now
         if self.limit >= PACE_BURST:
-            return self.out < self.limit
-        return self.out < min(PACE_BURST, self.s.most_out) and self.credit >= 1.0 - 1e-6
+            return self.attempts_out < self.limit
+        return self.attempts_out < min(PACE_BURST, self.cfg.most_out) and self.credit >= 1.0 - 1e-6
 
-    def send(self, now: float, req: Request, server: Server) -> None:
+    def send(self, now: float, req: Request, server: TrackedBackend) -> None:
         attempt = Attempt(server, len(req.attempts), now)
         if not req.attempts:
             self.retry_tokens = min(HEDGE_BURST, self.retry_tokens + HEDGE_SHARE)
@@ -695,30 +714,30 @@
             self.known += CAPACITY_WEIGHT * (len(self.usable) - self.known)
         req.attempts.append(attempt)
         key = (req.id, attempt.no)
-        self.flights[key] = (attempt, req)
-        server.out[key] = now
-        self.out += 1
+        self.in_flight[key] = (attempt, req)
+        server.open_attempts[key] = now
+        self.attempts_out += 1
         self.credit = max(0.0, self.credit - 1.0)
-        req.bucket.open += 1
+        req.bucket.open_count += 1
         server.cold_tokens -= 1.0
-        self.acts.append(io.Send(req.id, server.id, req.deadline))
-        self.at(now + self.mean + RTO_DEVS * self.dev, self.hedge, (req, attempt))
+        self.actions.append(io.Send(req.id, server.id, req.deadline))
+        self.at(now + self.mean_ms + RTO_DEVS * self.dev_ms, self.hedge, (req, attempt))
 
     def hedge(self, now: float, arg) -> None:
         """No answer within the usual time: the backend is avoided, and a second copy sent where allowed; none
         while all backends are slow, as copies would make them slower still."""
         req, attempt = arg
-        if attempt.out and attempt.backend.heard < attempt.sent:
-            self.avoid(now, attempt.backend, now - attempt.sent)
-        copy = self.s.may_duplicate and req.cls.repeat is not Repeat.UNSAFE and not req.stream
-        crowded = self.out >= max(2.0, self.limit) or self.strain > TARGET_AIM
+        if attempt.out and attempt.backend.last_heard_at < attempt.sent:
+            self.penalize(now, attempt.backend, now - attempt.sent)
+        copy = self.cfg.may_duplicate and req.cls.idempotency is not Idempotency.UNSAFE and not req.stream
+        crowded = self.attempts_out >= max(2.0, self.limit) or self.slowness > TARGET_AIM
         if attempt.out and copy and not req.done and not crowded:
             self.again(now, req)
 
     def again(self, now: float, req: Request, free: bool = False) -> bool:
         """A further attempt; free after one that never ran, as it cost the backends nothing."""
-        spent = len(req.attempts) >= self.s.most_attempts or not free and self.retry_tokens < 1.0
-        server = None if spent or now > req.aim - self.mean / 2 else self.pick(now, req)
+        spent = len(req.attempts) >= self.cfg.most_attempts or not free and self.retry_tokens < 1.0
+        server = None if spent or now > req.aim - self.mean_ms / 2 else self.pick(now, req)
         if server is None:
             return False
         self.retry_tokens -= 0.0 if free else 1.0
@@ -726,74 +745,74 @@
         return True
 
     def on_ended(self, now: float, e: io.AttemptEnded) -> None:
-        attempt, req = self.flights.pop((e.request, e.attempt), (None, None))
+        attempt, req = self.in_flight.pop((e.request, e.attempt), (None, None))
         if attempt is None:
             return
         server, b = attempt.backend, req.bucket
-        server.out.pop((e.request, e.attempt), None)
-        self.out -= 1
+        server.open_attempts.pop((e.request, e.attempt), None)
+        self.attempts_out -= 1
         attempt.out, attempt.may_run = False, e.outcome not in NEVER_RAN
-        b.open -= 1
+        b.open_count -= 1
         self.learn(now, server, req, e)
         self.steer(now, req, e)
         if e.final and not req.done:
-            if e.settled_units is not None and self.s.settles:
-                b.tokens -= round(e.settled_units * MILLI) - req.cost
+            if e.settled_units is not None and self.cfg.has_settled_units:
+                b.tokens -= round(e.settled_units * MILLI_PER_UNIT) - req.cost
             self.finish(now, req, None)
         elif not req.done and not any(a.out for a in req.attempts):
-            again = req.anchor() is None or req.cls.repeat is not Repeat.UNSAFE
+            again = req.anchor() is None or req.cls.idempotency is not Idempotency.UNSAFE
             if not (again and self.again(now, req, free=e.outcome in NEVER_RAN)):
                 self.end(now, req)
-        if b.gate:
-            gate, b.gate = b.gate, deque()
+        if b.gated:
+            gate, b.gated = b.gated, deque()
             for held in (x for x in gate if not x.done):
                 self.granted(now, held)
         self.pump(now)
 
-    def learn(self, now: float, x: Server, req: Request, e: io.AttemptEnded) -> None:
-        if e.outcome not in (Outcome.TIMEOUT, Outcome.CANCELLED, Outcome.MOOT):
-            x.heard = now
-        if e.outcome in (Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.FULL):
-            self.avoid(now, x, 0.0)
-        elif e.outcome in (Outcome.SPOILT, Outcome.RESET):
+    def learn(self, now: float, x: TrackedBackend, req: Request, e: io.AttemptEnded) -> None:
+        if e.outcome not in (Outcome.TIMEOUT, Outcome.CANCELLED, Outcome.NOT_SENT):
+            x.last_heard_at = now
+        if e.outcome in (Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.OVERLOADED):
+            self.penalize(now, x, 0.0)
+        elif e.outcome in (Outcome.UNUSABLE_RESPONSE, Outcome.RESET):
             # Any backend's answers may be, and kept connections end; where nearly all do, it is avoided. One
             # that died refuses the next connection.
-            x.spoilt += 1
-            if x.spoilt > SPOILT_MOST:
-                self.avoid(now, x, 0.0)
+            x.unusable_responses += 1
+            if x.unusable_responses > SPOILT_MOST:
+                self.penalize(now, x, 0.0)
         elif e.outcome is Outcome.OK:
-            x.spoilt = 0
+            x.unusable_responses = 0
             self.note(now, "avoided", False, x.id)
             took = e.elapsed_ms
-            fresh, x.failed = x.failed or not x.latency, False  # one good answer ends an ejection
-            before = self.mean if fresh else x.expected(now, self.mean)
+            fresh, x.has_failed = x.has_failed or not x.latency_ms, False  # one good answer ends an ejection
+            before = self.mean_ms if fresh else x.expected_ms(now, self.mean_ms)
             weight = 0.5 if fresh else 0.15
-            x.latency, x.latency_at = before + weight * (took - before), now
+            x.latency_ms, x.latency_at = before + weight * (took - before), now
             weight = max(0.03, 0.5 * (now - self.mean_at) / (now - self.mean_at + MEMORY_MS))
             self.mean_at = now
-            self.dev += weight * (abs(took - self.mean) - self.dev)
-            self.mean += weight * (took - self.mean)
+            self.dev_ms += weight * (abs(took - self.mean_ms) - self.dev_ms)
+            self.mean_ms += weight * (took - self.mean_ms)
 
     def steer(self, now: float, req: Request, e: io.AttemptEnded) -> None:
         """The limit on own attempts out follows how much of their aims the answers take."""
-        ratio = min(1.0, e.elapsed_ms / req.cls.aim_ms)
-        answered = e.outcome in (Outcome.OK, Outcome.ERROR, Outcome.TIMEOUT, Outcome.SPOILT)
-        if answered or e.outcome is Outcome.CANCELLED and ratio > self.strain:
+        ratio = min(1.0, e.elapsed_ms / req.cls.target_latency_ms)
+        answered = e.outcome in (Outcome.OK, Outcome.ERROR, Outcome.TIMEOUT, Outcome.UNUSABLE_RESPONSE)
+        if answered or e.outcome is Outcome.CANCELLED and ratio > self.slowness:
             gap, self.answer_at = now - self.answer_at, now
-            self.strain += max(0.05, gap / (gap + MEMORY_MS)) * (ratio - self.strain)
-        if now - self.limit_at < self.mean:
+            self.slowness += max(0.05, gap / (gap + MEMORY_MS)) * (ratio - self.slowness)
+        if now - self.limit_at < self.mean_ms:
             return
-        steps, self.limit_at = min(5.0, (now - self.limit_at) / self.mean), now
-        self.note(now, "backends crowded", self.strain > 1.2 * TARGET_AIM)
-        if self.strain > TARGET_AIM:
+        steps, self.limit_at = min(5.0, (now - self.limit_at) / self.mean_ms), now
+        self.note(now, "backends crowded", self.slowness > 1.2 * TARGET_AIM)
+        if self.slowness > TARGET_AIM:
             # Where one attempt for each backend is slow, the work itself is, and refusing makes it no faster.
-            least = len(self.usable) / max(1, self.s.gateways)
-            self.limit = max(least, self.limit * max((1.0 - FLEET_STEP) ** steps, TARGET_AIM / self.strain))
-        elif self.pressed or self.out + 1 >= max(2.0, self.limit * 0.7):
+            least = len(self.usable) / max(1, self.cfg.gateways)
+            self.limit = max(least, self.limit * max((1.0 - FLEET_STEP) ** steps, TARGET_AIM / self.slowness))
+        elif self.pressed or self.attempts_out + 1 >= max(2.0, self.limit * 0.7):
             step = self.limit * FLEET_STEP
-            self.limit += max(min(0.5, step), step * (1.0 - self.strain / TARGET_AIM)) * steps
+            self.limit += max(min(0.5, step), step * (1.0 - self.slowness / TARGET_AIM)) * steps
             self.pressed = False
-        self.limit = min(self.s.most_out, self.limit)
+        self.limit = min(self.cfg.most_out, self.limit)
 
     def pump(self, now: float, _arg=None) -> None:
         while self.ready and self.free(now):
@@ -809,11 +828,15 @@
 
     def pace(self, now: float) -> None:
         if self.ready and self.limit < PACE_BURST and self.pace_at <= now and self.credit < 1.0 - 1e-6:
-            self.pace_at = now + self.s.tick_ms + (1.0 - self.credit) * self.mean / max(self.limit, 1e-3)
+            self.pace_at = now + self.cfg.tick_ms + (1.0 - self.credit) * self.mean_ms / max(self.limit, 1e-3)
             self.at(self.pace_at, self.pump, None)
 
     def give_up(self, now: float, req: Request) -> None:
-        if not req.done and not req.stream and (not req.attempts or now >= req.deadline - 2 * self.s.tick_ms):
+        if (
+            not req.done
+            and not req.stream
+            and (not req.attempts or now >= req.deadline - 2 * self.cfg.tick_ms)
+        ):
             self.end(now, req)
 
     def end(self, now: float, req: Request) -> None:
@@ -827,11 +850,11 @@
             req.bucket.tokens += req.paid
             req.bucket.spend(-req.paid)
         if answer is not None:
-            self.acts.append(answer)
-        if self.s.may_cancel:
-            self.acts += [io.Cancel(req.id, a.no) for a in req.attempts if a.out]
+            self.actions.append(answer)
+        if self.cfg.may_cancel:
+            self.actions += [io.Cancel(req.id, a.no) for a in req.attempts if a.out]
 
-    def on_left(self, now: float, e: io.ClientLeft) -> None:
+    def on_left(self, now: float, e: io.ClientDisconnected) -> None:
         if e.request in self.requests:
             self.finish(now, self.requests[e.request], None)
 
@@ -844,11 +867,11 @@
         self.buckets = {
             key: b
             for key, b in self.buckets.items()
-            if now - b.touched <= (KEEP_MS if b.filled else max(IDLE_MS, 2 * b.fill_ms))
+            if now - b.last_used_at <= (KEEP_MS if b.is_filled else max(IDLE_MS, 2 * b.fill_ms))
             or b.pending
-            or b.open
+            or b.open_count
             or b.waiting
-            or b.gate
+            or b.gated
         }
-        self.starts.forget(self.fleet.sweep())
-        self.notes = {key: x for key, x in self.notes.items() if not key[1] or key[1] in self.servers}
+        self.starts.forget(self.pool.sweep())
+        self.logged = {key: x for key, x in self.logged.items() if not key[1] or key[1] in self.tracked}
--- a/cobaltline/interface.py
+++ b/cobaltline/interface.py
@@ -1,18 +1,18 @@
 """What a gateway and the decision module say to each other.
 
-The module (`cobaltline.brain.Gateway`) does no I/O, as in h11: the host builds it with `Settings` and a
+The module (`cobaltline.gateway.Gateway`) does no I/O, as in h11: the host builds it with `Settings` and a
 seed, passes every event with the time it happened at, and carries out the returned actions in order.
 
 For somebody putting it into a gateway of another kind:
 
 * `now_ms` comes from the host and never goes backwards. Window names on the counter are made from it: it is
-  in step between the gateways of one deployment (a few milliseconds), or `Settings.clocks_in_step` is false.
+  in step between the gateways of one deployment (a few milliseconds), or `Settings.clocks_in_sync` is false.
 * One `Gateway` for each process; instances share nothing.
 * `BackendsChanged` comes first, with the last list known. Each `Send` later gets exactly one
-  `AttemptEnded`, each `Count` exactly one `CountResult`, each `Probe` one `ProbeResult`, each `SetTimer`
-  one `TimerFired`.
+  `AttemptEnded`, each `CounterAdd` exactly one `CounterResult`, each `Probe` one `ProbeResult`, each
+  `SetTimer` one `TimerFired`.
 * `Stopping` comes once, before a process ends in order.
-* A request ends by an `AttemptEnded` with `final` set, by `Reject`, by `Fail`, or by `ClientLeft`.
+* A request ends by an `AttemptEnded` with `final` set, by `Reject`, by `Fail`, or by `ClientDisconnected`.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from enum import Enum
 
 
-class Repeat(Enum):
+class Idempotency(Enum):
     """Whether a request may run more than once."""
 
     SAFE = "safe"
@@ -35,24 +35,25 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    OVERLOADED = "full"
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
-    SPOILT = "spoilt"  # an answer of no use, or one that faults the request: it says nothing of the backend
+    # an answer of no use, or one that faults the request: it says nothing of the backend
+    UNUSABLE_RESPONSE = "spoilt"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_SENT = "moot"
 
 
-NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})
+NEVER_RAN = frozenset({Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 
 
 class ListKind(Enum):
     """What a list of backends holds."""
 
-    CHANGES = "changes"
-    WHOLE = "whole"
-    REMEMBERED = "remembered"
+    DELTA = "changes"
+    COMPLETE = "whole"
+    CACHED = "remembered"
     FAILED = "failed"
 
 
@@ -65,13 +66,13 @@
 @dataclass(slots=True)
 class RequestClass:
     name: str = ""
-    aim_ms: float = 1000.0
-    deadline_ms: float = 4000.0
-    repeat: Repeat = Repeat.UNSAFE
+    target_latency_ms: float = 1000.0
+    timeout_ms: float = 4000.0
+    idempotency: Idempotency = Idempotency.UNSAFE
     key_scope: str = "cell"  # "all", "zone" or "cell"
     key_ttl_ms: float = 0.0
     late_worth: float = 0.0
-    aim_stretch: float = 0.0
+    target_stretch: float = 0.0
     worth: float = 1.0
     stream: bool = False
 
@@ -81,10 +82,10 @@
     name: str = ""
     rate: float = 0.0  # units a second; 0 = no such quota
     burst: float = 0.0  # units
-    open_limit: int = 0  # attempts out at once; 0 = no such quota
+    max_concurrency: int = 0  # attempts out at once; 0 = no such quota
     ceiling_rate: float = 0.0  # units a second; 0 = no ceiling
     ceiling_burst: float = 0.0
-    ceiling_slack: float = 0.0
+    ceiling_tolerance: float = 0.0
     excess_worth: float = 0.0
     overrun_cost: float = 0.0
     price: float = 1.0
@@ -94,26 +95,26 @@
 class Settings:
     """What a gateway is told at its start. Every key may be left out."""
 
-    me: int = 0
+    node_id: int = 0
     gateways: int = 1
     zone: str = ""
     tick_ms: float = 1.0
-    clocks_in_step: bool = True  # all machines'; else the gateways agree on a time over the counter
+    clocks_in_sync: bool = True  # all machines'; else the gateways agree on a time over the counter
     clock_origin_ms: float | None = None  # `now_ms` when the machine's monotonic clock stood at 0, if known
     classes: dict[str, RequestClass] = field(default_factory=dict)
     plans: dict[str, Plan] = field(default_factory=dict)
-    must_ask: bool = False  # the list of backends comes only when asked for
-    ask_every_ms: float = 10000.0
+    must_poll: bool = False  # the list of backends comes only when asked for
+    poll_interval_ms: float = 10000.0
     counter: bool = False
-    counter_wait_ms: float = 50.0
+    counter_timeout_ms: float = 50.0
     counter_price: float = 0.0
-    settles: bool = False  # a request's true units come with its answer
+    has_settled_units: bool = False  # a request's true units come with its answer
     meter_ms: float = 0.0
-    most_units: float = 1.0
-    peer_in_per_s: float = 0.0
+    max_units: float = 1.0
+    peer_messages_in_per_s: float = 0.0
     may_cancel: bool = False
     may_probe: bool = False
-    may_tell: bool = False
+    may_message_peers: bool = False
     may_duplicate: bool = False
     may_advise: bool = False  # clients are given `Reject.retry_after_ms`
     most_retry_after_ms: float = 0.0
@@ -130,8 +131,8 @@
     waste_price: float = 0.0
     late_fail_price: float = 0.0
     probe_price: float = 0.0
-    reports: tuple[str, ...] = ()  # the values in a load report
-    reports_on_answers: bool = False
+    load_report_fields: tuple[str, ...] = ()  # the values in a load report
+    has_inline_load_reports: bool = False
     weights: str = "off"  # "off", "nominal", "rough" or "live"
 
 
@@ -181,18 +182,18 @@
     outcome: Outcome
     final: bool
     elapsed_ms: float = 0.0
-    use_percent: int | None = None  # from the meter, where there is one
+    utilization_percent: int | None = None  # from the meter, where there is one
     settled_units: float | None = None
     report: dict[str, float] | None = None
 
 
 @dataclass(slots=True)
-class ClientLeft:
+class ClientDisconnected:
     request: str
 
 
 @dataclass(slots=True)
-class CountResult:
+class CounterResult:
     name: str
     outcome: Outcome
     total: float | None = 0.0  # None where it was added, but the answer did not tell the total
@@ -204,7 +205,7 @@
     kind: ListKind
     version: int = 0
     backends: tuple[Backend, ...] = ()
-    silent_ms: float = 0.0  # for how long nothing had been heard of discovery before
+    outage_ms: float = 0.0  # for how long nothing had been heard of discovery before
 
 
 @dataclass(slots=True)
@@ -238,7 +239,7 @@
 class Send:
     request: str
     backend: str
-    until_ms: float = 0.0  # clock time; 0 = the client's deadline
+    deadline_ms: float = 0.0  # clock time; 0 = the client's deadline
 
 
 @dataclass(slots=True)
@@ -263,7 +264,7 @@
 
 
 @dataclass(slots=True)
-class Count:
+class CounterAdd:
     """Add `amount` (0 reads) to a named number on the counter service."""
 
     name: str
@@ -278,7 +279,7 @@
 
 
 @dataclass(slots=True)
-class Tell:
+class SendPeerMessage:
     payload: bytes
     to: int | None = None  # None = every peer
 
--- a/cobaltline/quota.py
+++ b/cobaltline/quota.py
@@ -13,12 +13,12 @@
 **Who is asked about.** A request that finds tokens spends them. Else the gateway borrows: one call adds the
 lease, and what does not fit goes back. Where the store was seen well filled, nothing is at stake: the request
 goes out at once, within this gateway's part of what was left, and a call behind it counts it together with
-others (`owed`). A part smaller than a request bounds nothing; there `Gateway.doubt` decides, the share of
-such trust that turned out wrong. A customer that comes many times quicker than it used to is counted at once,
-and asked about first when that goes on.
+others (`uncounted_tokens`). A part smaller than a request bounds nothing; there `Gateway.overrun_share`
+decides, the share of such trust that turned out wrong. A customer that comes many times quicker than it used
+to is counted at once, and asked about first when that goes on.
 
 **When the count is stale or gone.** Calls fail, or have to be spaced: the local share of the quota decides
-(`local_take`), and what it lets in is owed to the count. A customer found short is refused until its store
+(`take_local`), and what it lets in is owed to the count. A customer found short is refused until its store
 has refilled so far (`retry_at`).
 
 **How it gets back.** A counter that came back empty shows a total below this gateway's own part: the count is
@@ -32,9 +32,9 @@
 from collections import deque
 
 from . import interface as io
-from .fleet_time import WINDOW_MS, WINDOWS, FleetTime
+from .fleet_time import WINDOW_COUNT, WINDOW_MS, FleetTime
 
-MILLI = 1000  # milli-tokens a unit; the paper charges 1000 a request
+MILLI_PER_UNIT = 1000  # milli-tokens a unit; the paper charges 1000 a request
 NO_WINDOW = -1  # is the number of none
 LEASE_SHARE = 0.06  # of last use that a lease adds: calls are cheap beside stranded tokens
 FILLED_SHARE = 0.5  # of its store: a customer that has so much left is let in before it is counted
@@ -65,45 +65,52 @@
         self.key, self.plan, self.first = key, plan, first
         self.fleet_time = fleet_time
         self.spread = spread = max(1, min(spread, settings.gateways))
-        rank = (settings.me - first) % max(1, settings.gateways)
+        rank = (settings.node_id - first) % max(1, settings.gateways)
         # Homes, the same at each gateway, lend to the set: who sees all of a customer's use needs few calls.
         digest = hashlib.sha256(f"{plan.name}/{key}".encode()).digest()
-        self.count_name = digest.hex()[:40]
-        homes = HOMES if settings.may_tell else 0
+        self.counter_name = digest.hex()[:40]
+        homes = HOMES if settings.may_message_peers else 0
         turns = [int.from_bytes(digest[4 * i : 4 * i + 4]) % spread for i in range(homes)]
         self.homes = [(first + turn) % max(1, settings.gateways) for turn in turns]
-        self.home = self.homes.index(settings.me) + 1 if settings.me in self.homes else 0
+        self.home_rank = self.homes.index(settings.node_id) + 1 if settings.node_id in self.homes else 0
         self.rate = plan.rate  # milli-tokens a millisecond
-        self.capacity = int(plan.burst * MILLI)
+        self.capacity = int(plan.burst * MILLI_PER_UNIT)
         self.fill_ms = self.capacity / self.rate if self.rate > 0 else 1000.0  # in which an empty store fills
         # Windows of unlike customers end at unlike moments: each brings calls that read the one before.
         self.shift_ms = float(int.from_bytes(digest[-4:]) % int(WINDOW_MS))
-        self.opening_tries = 0  # calls that asked how the window before ended
-        self.opening: int | None = None  # puts the count right, once it is known how the window before ended
+        self.previous_total_tries = 0  # calls that asked how the window before ended
+        # puts the count right, once it is known how the window before ended
+        self.correction: int | None = None
         self.window = self.clock(now)[0]
-        self.opened = NO_WINDOW  # the last window that a count was seen of
+        self.counted_window = NO_WINDOW  # the last window that a count was seen of
         # What this gateway has in the count of this window; let in and not counted yet; lapsed, not returned.
-        self.added = self.owed = self.left = 0
+        self.added = self.uncounted_tokens = self.left = 0
         self.tokens, self.lent_at, self.lease = 0, now, 0
-        self.level, self.filled = 0.0, False  # of the store after the last lease; whether that is well filled
-        self.uncounted = 0  # requests that are owed
+        # of the store after the last lease; whether that is well filled
+        self.level, self.is_filled = 0.0, False
+        self.uncounted_requests = 0  # requests that are owed
         self.spent = self.spent_before = 0  # own use since `spent_at`, and in the `fill_ms` before
         self.spent_at = now
-        self.visited_at, self.quick = 0.0, 0  # the last request; how many in a row came quickly
+        self.visited_at, self.quick_streak = 0.0, 0  # the last request; how many in a row came quickly
         # Mean gap between requests here; at first that of units at a quarter of the quota.
-        self.pace_ms = 4.0 * MILLI * spread / max(self.rate, 1e-9)
+        self.pace_ms = 4.0 * MILLI_PER_UNIT * spread / max(self.rate, 1e-9)
         self.retry_at, self.pending = 0.0, 0  # pending: answers still out for the borrow in flight
         self.short_at = -1e12  # when the store was last found short
-        self.waiting, self.gate = deque(), deque()  # for tokens; for an attempt out to end
+        self.waiting, self.gated = deque(), deque()  # for tokens; for an attempt out to end
         # Over this part of the limit on attempts out, requests wait for an own one to end.
-        extra = rank < plan.open_limit % spread
-        self.open, self.open_cap = 0, max(1, plan.open_limit // spread + extra)
-        self.tried, self.promised = 0, 0.0  # sources that failed for what waits; last turn told to a peer
-        self.retold = False  # for what waits, the counter was asked once more after a spoilt answer
-        self.part = 1.0 / (self.home or spread)
-        self.local, self.local_at = self.capacity * self.part, now
+        extra = rank < plan.max_concurrency % spread
+        self.open_count, self.max_open = 0, max(1, plan.max_concurrency // spread + extra)
+        # sources that failed for what waits; last turn told to a peer
+        self.sources_tried, self.promised_at = 0, 0.0
+        self.was_asked_again = False  # for what waits, the counter was asked once more after a spoilt answer
+        self.share = 1.0 / (self.home_rank or spread)
+        self.local, self.local_at = self.capacity * self.share, now
         # So many gateways that none has a unit of the burst: what one sees of the customer tells it nothing.
-        self.thin = self.capacity * self.part < MILLI and plan.ceiling_rate <= 0 and not settings.may_tell
+        self.has_thin_share = (
+            self.capacity * self.share < MILLI_PER_UNIT
+            and plan.ceiling_rate <= 0
+            and not settings.may_message_peers
+        )
         # Unconfirmed grants under a ceiling: a part of ceiling less quota, two units at least, from the first
         # home on. Starts empty: a gateway that was restarted cannot know what it granted before.
         extra = max(0.0, plan.ceiling_burst - plan.burst)
@@ -111,33 +118,33 @@
         turn = (rank - (turns[0] if turns else 0)) % spread
         part = 1.0 / holders if turn < holders else 0.0
         self.spare_rate = max(0.0, plan.ceiling_rate - plan.rate) * part
-        self.spare_most, self.spare, self.spare_at = extra * MILLI * part, 0.0, now
-        self.touched = now
+        self.max_spare, self.spare, self.spare_at = extra * MILLI_PER_UNIT * part, 0.0, now
+        self.last_used_at = now
 
     def clock(self, now: float) -> tuple[int, float]:
         """The number of the customer's window, and the time in ms since that began."""
         return self.fleet_time.window(now, self.shift_ms)
 
-    def sure_of_window(self, now: float) -> bool:
-        return self.fleet_time.sure(now, self.shift_ms)
+    def knows_window(self, now: float) -> bool:
+        return self.fleet_time.knows_window(now, self.shift_ms)
 
-    def window_before(self) -> int:
+    def previous_window(self) -> int:
         """The number of the window before this one; they are numbered round."""
-        return (self.window - 1) % WINDOWS
+        return (self.window - 1) % WINDOW_COUNT
 
-    def visit(self, now: float) -> None:
+    def record_arrival(self, now: float) -> None:
         """A request has come: how quickly, beside the mean of late."""
         if self.visited_at:
             gap_ms = now - self.visited_at
-            self.quick = self.quick + 1 if gap_ms * QUICK_TIMES < self.pace_ms else 0
+            self.quick_streak = self.quick_streak + 1 if gap_ms * QUICK_TIMES < self.pace_ms else 0
             self.pace_ms += PACE_WEIGHT * (gap_ms - self.pace_ms)
         self.visited_at = now
 
-    def roll(self, now: float) -> None:
+    def advance(self, now: float) -> None:
         """Bring the clock forward: a new window has nothing counted; leases lapse that nobody spent."""
         if now - self.spent_at >= self.fill_ms:
             if now - self.spent_at >= 2.0 * self.fill_ms:  # what was used then has refilled
-                self.spent = self.owed = self.uncounted = 0
+                self.spent = self.uncounted_tokens = self.uncounted_requests = 0
             self.spent_before, self.spent, self.spent_at = self.spent, 0, now
         if self.tokens > 0 and now - self.lent_at > self.fill_ms:
             self.left += self.tokens
@@ -150,31 +157,36 @@
         self.spent += cost
         self.local -= cost
 
-    def want(self, direct: float) -> int:
+    def lease_size(self, direct: float) -> int:
         """The lease to ask for; none where nothing waits. `direct` is the share of borrows that go well."""
         if not self.waiting:
             return 0
         share = max(LEASE_SHARE, 1.0 - direct)
         cost = self.waiting[0].cost
-        own_part = int(self.capacity * self.part)
+        own_part = int(self.capacity * self.share)
         lease = min(own_part, int(self.spent_before * share) + cost)
         return max(lease, sum(r.cost for r in self.waiting))
 
-    def report(self) -> int:
+    def take_unreported(self) -> int:
         """What the next call counts beside its lease."""
-        own, self.owed, self.left, self.uncounted = self.owed - self.left, 0, 0, 0
+        own, self.uncounted_tokens, self.left, self.uncounted_requests = (
+            self.uncounted_tokens - self.left,
+            0,
+            0,
+            0,
+        )
         self.added += own
         return own
 
-    def take_in(self, now: float, total: int) -> tuple[bool, int]:
+    def apply_total(self, now: float, total: int) -> tuple[bool, int]:
         """The count of this window with the lease in it, from which follows what the store held before the
         lease (`level`). Returns whether this was the window's first call, and what has to be added to the
         count to put it right."""
         self.added += self.lease
         inside_ms, amount, most = self.clock(now)[1], 0, float(self.capacity)
         held = self.capacity + self.rate * inside_ms - total + self.lease
-        opens = total == self.added and inside_ms < self.fill_ms and self.opened != self.window
-        self.opened = self.window
+        opens = total == self.added and inside_ms < self.fill_ms and self.counted_window != self.window
+        self.counted_window = self.window
         if total < self.added:  # the counter came back empty: what this gateway let in of late is put back
             self.added, most = total, max(0.0, most - self.spent - self.spent_before)
             amount = max(0, int(held - most))
@@ -185,13 +197,13 @@
         self.level = max(-DEFICIT_SHARE * self.capacity, min(most, held))
         return opens, amount
 
-    def lend(self, now: float, keep: int) -> None:
+    def add_lease(self, now: float, keep: int) -> None:
         """So much of the lease is kept."""
         self.tokens += keep
         self.lent_at = now
         self._draw(keep)
 
-    def carry(self, total: int) -> int:
+    def carry_over(self, total: int) -> int:
         """The window before ended with this total: what its store lacked then, and the count has to have."""
         held = self.capacity + self.rate * WINDOW_MS - total
         lacked = int(self.capacity - max(0.0, min(self.capacity, held)))
@@ -200,36 +212,36 @@
 
     def _draw(self, units: int) -> None:
         self.level -= units
-        self.filled = self.level >= FILLED_SHARE * self.capacity
+        self.is_filled = self.level >= FILLED_SHARE * self.capacity
 
-    def local_take(self, now: float, cost: int, odds: float, short: float, mean_cost: float) -> bool:
+    def take_local(self, now: float, cost: int, odds: float, short: float, mean_cost: float) -> bool:
         """The bounded local share that stands in for the counter while calls fail. A share under one request,
         as many gateways have of a small burst, tells nothing of the customer: unless its store was lately
         found short, it is let in by odds (a draw below 1), the less likely the more of other customers'
         borrows came back `short`, the more it costs to let in too much and the larger it is beside the mean.
         Refused, its client comes again and may be counted then. After its store was found short: by odds,
         and owed, so that shares neither lapse nor round up."""
-        most = self.capacity * self.part
-        self.local = min(most, self.local + self.rate * self.part * (now - self.local_at))
+        most = self.capacity * self.share
+        self.local = min(most, self.local + self.rate * self.share * (now - self.local_at))
         self.local_at = now
         small = most < cost
-        if self.thin and now - self.short_at > SHORT_FILLS * self.fill_ms:
+        if self.has_thin_share and now - self.short_at > SHORT_FILLS * self.fill_ms:
             risk = self.plan.overrun_cost * short * (cost / mean_cost) ** BLIND_SIZE
             fits = odds >= BLIND_ODDS * risk
         else:
             fits = self.local >= cost * (odds if small else 1.0) - 1e-6 and self.local > 0
-        if not fits or not self.spare_take(now, cost):
+        if not fits or not self.take_spare(now, cost):
             return False
         self.spend(cost)
-        self.owed += cost
+        self.uncounted_tokens += cost
         return True
 
-    def spare_take(self, now: float, cost: int) -> bool:
+    def take_spare(self, now: float, cost: int) -> bool:
         """Under a ceiling, unconfirmed grants draw on this gateway's part of ceiling less quota."""
         if self.plan.ceiling_rate <= 0:
             return True
         spare = self.spare + self.spare_rate * (now - self.spare_at)
-        self.spare, self.spare_at = min(self.spare_most, spare), now
+        self.spare, self.spare_at = min(self.max_spare, spare), now
         if self.spare < cost:
             return False
         self.spare -= cost
--- a/cobaltline/slow_start.py
+++ b/cobaltline/slow_start.py
@@ -23,27 +23,27 @@
 from . import interface as io
 from .fleet_time import FleetTime
 
-LATE_MS = 10000.0  # discovery tells of a start no later than that
-MOVED_MS = 50.0  # by which the fleet's time has to move before starts are dated anew
+DISCOVERY_DELAY_MS = 10000.0  # discovery tells of a start no later than that
+MIN_OFFSET_CHANGE_MS = 50.0  # by which the fleet's time has to move before starts are dated anew
 FORGOTTEN_MOST = 4096  # backends that left, of which the start is kept in mind
 # The load of cold backends is worked out over so many of those usable of late, over the multiple that pushes
 # one over, at least: few that are left can't bear at once what many did.
-KNOWN_SHARE = 1.5
+RECENT_COUNT_FACTOR = 1.5
 SAVED_MOST = 1.5  # requests to a cold backend that a gateway may have saved
 
 
 class Dated(Protocol):
-    """What a backend needs to have: `started` as the list says it, in Unix ms; by the gateway's own clock,
+    """What a backend needs to have: `start_ms` as the list says it, in Unix ms; by the gateway's own clock,
     when it was heard of, how old it can have been then, and when it started (minus infinity: long ago)."""
 
     id: str
-    started: float
-    heard_at: float
-    most_age_ms: float
+    start_ms: float
+    first_heard_at: float
+    max_age_ms: float
     started_at: float
 
 
-class StartDates:
+class StartTimes:
     """Dates the starts of backends: `started_at`, in ms of this gateway's own clock."""
 
     def __init__(self, settings: io.Settings, fleet_time: FleetTime):
@@ -53,7 +53,7 @@
         self._newest = 0.0  # stamp on the list at the gateway's start, where few are about as new
         self._forgotten: dict[str, tuple[float, float]] = {}  # stamp and start of those that left
 
-    def begin(self, backends: Iterable[io.Backend]) -> None:
+    def load_first_list(self, backends: Iterable[io.Backend]) -> None:
         """The list as it is at the gateway's start."""
         stamps = [backend.started_ms for backend in backends]
         newest = max(stamps, default=0.0)
@@ -61,30 +61,30 @@
         if newest > 0.0 and 2 * young < len(stamps):
             self._newest = newest
 
-    def learn(self, backend: Dated, now: float, most_age_ms: float) -> None:
-        """Another process, which was heard of now: it can't be older than `most_age_ms`, which is infinite
+    def record_start(self, backend: Dated, now: float, max_age_ms: float) -> None:
+        """Another process, which was heard of now: it can't be older than `max_age_ms`, which is infinite
         for what was on the list at the gateway's start."""
-        backend.heard_at, backend.most_age_ms = now, most_age_ms
+        backend.first_heard_at, backend.max_age_ms = now, max_age_ms
         stamp, started_at = self._forgotten.pop(backend.id, (None, 0.0))
-        if stamp == backend.started:
+        if stamp == backend.start_ms:
             backend.started_at = started_at
         else:
             self._date(backend)
 
     def _date(self, backend: Dated) -> None:
-        if backend.started <= 0.0 or self._cold_ms <= 0.0:
+        if backend.start_ms <= 0.0 or self._cold_ms <= 0.0:
             backend.started_at = -math.inf
             return
-        age_ms = backend.heard_at + self._fleet_time.offset_ms - backend.started
-        if not 0.0 <= age_ms <= backend.most_age_ms:
+        age_ms = backend.first_heard_at + self._fleet_time.offset_ms - backend.start_ms
+        if not 0.0 <= age_ms <= backend.max_age_ms:
             age_ms = 0.0
-        if backend.most_age_ms == math.inf and 0.0 < self._newest < backend.started + self._cold_ms:
-            age_ms = min(age_ms, max(0.0, self._newest - backend.started))
-        backend.started_at = backend.heard_at - age_ms
+        if backend.max_age_ms == math.inf and 0.0 < self._newest < backend.start_ms + self._cold_ms:
+            age_ms = min(age_ms, max(0.0, self._newest - backend.start_ms))
+        backend.started_at = backend.first_heard_at - age_ms
 
-    def time_moved(self, backends: Iterable[Dated]) -> None:
+    def on_offset_changed(self, backends: Iterable[Dated]) -> None:
         """The fleet's time may be known better by now."""
-        if abs(self._fleet_time.offset_ms - self._offset_ms) > MOVED_MS:
+        if abs(self._fleet_time.offset_ms - self._offset_ms) > MIN_OFFSET_CHANGE_MS:
             self._offset_ms = self._fleet_time.offset_ms
             for backend in backends:
                 self._date(backend)
@@ -92,11 +92,11 @@
     def forget(self, backends: Iterable[Dated]) -> None:
         """These have left; what comes back with the stamp that it had is no other process."""
         for backend in backends:
-            self._forgotten[backend.id] = backend.started, backend.started_at
+            self._forgotten[backend.id] = backend.start_ms, backend.started_at
         while len(self._forgotten) > FORGOTTEN_MOST:
             del self._forgotten[next(iter(self._forgotten))]
 
-    def warmth(self, backend: Dated, now: float) -> float:
+    def warm_share(self, backend: Dated, now: float) -> float:
         """The part of its capacity that a backend has by now, at least."""
         age_ms = now - backend.started_at
         if age_ms >= self._cold_ms:
@@ -109,7 +109,7 @@
     out."""
 
     cold_tokens: float
-    cold_at: float
+    cold_refilled_at: float
 
 
 class ColdPacer:
@@ -128,17 +128,17 @@
         self._left_at = -math.inf  # when backends left last
         # Of the budget, which is so many times a backend's capacity for a span, the rate takes up to one time
         # at full load, or more where that is worked out over fewer backends than there were.
-        room = settings.fall_multiple - max(1.0, settings.fall_multiple / KNOWN_SHARE)
+        room = settings.fall_multiple - max(1.0, settings.fall_multiple / RECENT_COUNT_FACTOR)
         self._room_ms = max(0.0, room) * settings.fall_ms
         self._saved_share = 1.0 / max(1, settings.gateways)  # one request of the whole fleet is always kept
 
-    def backends_left(self, now: float) -> None:
+    def on_backends_left(self, now: float) -> None:
         """Some are no longer usable: the others will be asked for what they did."""
         self._left_at = now
 
-    def ready(self, backend: Paced, now: float, rate: float) -> bool:
+    def may_send(self, backend: Paced, now: float, rate: float) -> bool:
         """Whether a request may be sent there now. `rate`: requests in a ms."""
-        if backend.cold_at < self._left_at:
+        if backend.cold_refilled_at < self._left_at:
             self._refill(backend, self._left_at, rate)
             if backend.cold_tokens >= 1.0 and self._random.random() >= self._kept(rate):
                 backend.cold_tokens = self._random.random()
@@ -150,5 +150,5 @@
         return self._room_ms * rate + self._saved_share
 
     def _refill(self, backend: Paced, at: float, rate: float) -> None:
-        tokens = backend.cold_tokens + rate * (at - backend.cold_at)
-        backend.cold_tokens, backend.cold_at = min(SAVED_MOST, tokens), at
+        tokens = backend.cold_tokens + rate * (at - backend.cold_refilled_at)
+        backend.cold_tokens, backend.cold_refilled_at = min(SAVED_MOST, tokens), at
--- a/elderhub/__main__.py
+++ b/elderhub/__main__.py
@@ -108,7 +108,7 @@
 async def drain(host: Host, config: Config) -> None:
     """From SIGTERM to the end: what was taken is answered, new connections come for a moment yet."""
     loop = asyncio.get_running_loop()
-    longest = max((c.deadline_ms for c in config.settings.classes.values()), default=0.0) / 1000.0
+    longest = max((c.timeout_ms for c in config.settings.classes.values()), default=0.0) / 1000.0
     last = loop.time() + min(longest, MOST_DEADLINE_S) + LAST_ANSWERS_S
     host.stop()
     await asyncio.sleep(ACCEPT_S)
--- a/elderhub/backends.py
+++ b/elderhub/backends.py
@@ -78,7 +78,7 @@
     def withdraw(self) -> None:
         """Its request is over. What was not sent whole is no attempt yet, and does not become one."""
         if not self.sent:
-            self.drop(io.Outcome.MOOT)
+            self.drop(io.Outcome.NOT_SENT)
 
     def late(self) -> None:
         self.drop(io.Outcome.TIMEOUT if self.sent else io.Outcome.CONNECT_FAILED)
@@ -136,13 +136,14 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             if not self._whole:
-                self._end(io.Outcome.SPOILT)
+                self._end(io.Outcome.UNUSABLE_RESPONSE)
                 return
             self._extra = True
         if self._whole:
             self._answered()
         elif self._unread > (SENT_MOST if self._headed else MOST_BYTES):
-            self._end(io.Outcome.SPOILT)  # a head or a trailer without end, which no callback tells of
+            # a head or a trailer without end, which no callback tells of
+            self._end(io.Outcome.UNUSABLE_RESPONSE)
         elif self._headed and self._stalled is None:
             self._stalled = self._pool.loop.call_later(BODY_S, self._stands)
 
@@ -154,7 +155,7 @@
         if self._poll.poll(0):  # we stood still ourselves: look at what has come meanwhile
             self._stalled = self._pool.loop.call_later(0.001, self._stands)
         else:
-            self._end(io.Outcome.SPOILT)
+            self._end(io.Outcome.UNUSABLE_RESPONSE)
 
     def on_message_begin(self) -> None:
         if self._whole:
@@ -210,11 +211,11 @@
 
     def _outcome(self) -> io.Outcome:
         if self._status == 200:  # one that came before all was asked answers something else
-            return io.Outcome.OK if self._exchange.sent else io.Outcome.SPOILT
+            return io.Outcome.OK if self._exchange.sent else io.Outcome.UNUSABLE_RESPONSE
         if self._status in (503, 504) and self._never_ran:
-            return io.Outcome.FULL
+            return io.Outcome.OVERLOADED
         # Below 500 it speaks of the request, not of the backend.
-        return io.Outcome.ERROR if self._status >= 500 else io.Outcome.SPOILT
+        return io.Outcome.ERROR if self._status >= 500 else io.Outcome.UNUSABLE_RESPONSE
 
     def _end(self, outcome: io.Outcome, keep: bool = False) -> None:
         exchange, self._exchange = self._exchange, None
@@ -375,7 +376,7 @@
         self.held: dict[Connection | Exchange, Pool] = {}
         self.idle: dict[Connection, Pool] = {}
         self._tasks: set[asyncio.Task] = set()
-        self._path = b"/load" if settings.reports else b"/healthz"
+        self._path = b"/load" if settings.load_report_fields else b"/healthz"
 
     def start(self) -> None:
         self._sweep()
@@ -415,7 +416,7 @@
         """Where backends listen, as discovery has it now. Those that are returned get nothing new: the caller
         closes them once the module knows, or it would try them again for what that ends."""
         parted = []
-        if found.event.kind is not io.ListKind.CHANGES:
+        if found.event.kind is not io.ListKind.DELTA:
             named = {backend.id for backend in found.event.backends}
             parted += [self._part(name) for name in list(self._places) if name not in named]
         for backend in found.event.backends:
--- a/elderhub/checks.py
+++ b/elderhub/checks.py
@@ -89,12 +89,12 @@
 
 def _fits(message: Message, cls: io.RequestClass) -> None:
     """The method follows from the class, and what may run again is told apart by its key."""
-    safe = cls.repeat is io.Repeat.SAFE
+    safe = cls.idempotency is io.Idempotency.SAFE
     if message.method != (b"GET" if safe else b"POST"):
         raise RequestError(405, "another method than its class has")
     if safe and message.body:
         raise RequestError(400, "a body that its class has not")
-    if cls.repeat is io.Repeat.KEYED and not KEYS.fullmatch(message.headers.get(KEY, b"")):
+    if cls.idempotency is io.Idempotency.KEYED and not KEYS.fullmatch(message.headers.get(KEY, b"")):
         raise RequestError(400, "missing: idempotency-key")
     if message.headers.get(RETRIED, b"1") not in (b"0", b"1"):
         raise RequestError(400, "x-retried is not 1")
@@ -103,7 +103,7 @@
 def _wait_ms(text: bytes, cls: io.RequestClass) -> float:
     """No client waits longer than its class is given."""
     wait_ms = float(text) * 1000.0 if DECIMAL.fullmatch(text) else 0.0
-    if not 0.0 < wait_ms <= cls.deadline_ms + ROUNDING_MS:
+    if not 0.0 < wait_ms <= cls.timeout_ms + ROUNDING_MS:
         raise RequestError(400, "x-timeout is not a number in range")
     return wait_ms
 
@@ -114,12 +114,12 @@
     given = dict(pairs)
     if len(pairs) != 3 or given.keys() != {b"units", b"spread", b"first"}:
         raise RequestError(400, "quota-info is not units, spread and first")
-    units = number(given[b"units"], 0.0, settings.most_units) if DECIMAL.fullmatch(given[b"units"]) else None
+    units = number(given[b"units"], 0.0, settings.max_units) if DECIMAL.fullmatch(given[b"units"]) else None
     if not units:
         raise RequestError(400, "units out of range")
     if not (WHOLE.fullmatch(given[b"first"]) and WHOLE.fullmatch(given[b"spread"])):
         raise RequestError(400, "a set that is none")
     first, spread, gateways = int(given[b"first"]), int(given[b"spread"]), max(1, settings.gateways)
-    if not (first < gateways and 0 < spread <= gateways and (settings.me - first) % gateways < spread):
+    if not (first < gateways and 0 < spread <= gateways and (settings.node_id - first) % gateways < spread):
         raise RequestError(400, "a set that is none of this gateway's")
     return units, first, spread
--- a/elderhub/config.py
+++ b/elderhub/config.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from cobaltline import interface as io
-from cobaltline.adapter import Malformed, settings_from
+from cobaltline.adapter import MalformedInput, parse_settings
 
 from .discovery import MALFORMED, Listing, listing
 from .wire import Address, address
@@ -99,8 +99,8 @@
 def _config(raw: dict) -> Config:
     info = _object(raw, "settings", "settings")
     try:
-        settings = settings_from(info)
-    except Malformed as error:
+        settings = parse_settings(info)
+    except MalformedInput as error:
         raise ConfigError(f"settings.{error}") from None
     listed = _field("peers", f"a list of {ADDRESS}", tuple, raw.get("peers") or ())
     peers = tuple(_field(f"peers[{i}]", ADDRESS, address, peer) for i, peer in enumerate(listed))
@@ -126,7 +126,7 @@
         listen=_address(raw, "listen"),
         discovery=_address(raw, "discovery"),
         counter=counter if settings.counter else None,
-        peer_listen=peer_listen if settings.may_tell else None,
+        peer_listen=peer_listen if settings.may_message_peers else None,
         peers=peers,
         peers_all=peers_all,
         seed=_field("seed", "hexadecimal digits, as text", int, str(raw.get("seed") or "0"), 16),
--- a/elderhub/counter.py
+++ b/elderhub/counter.py
@@ -155,7 +155,7 @@
         if word == b"ok" and total is not None and call.name:
             self._counter.end(call, io.Outcome.OK, total)
         elif word == b"busy":
-            self._counter.end(call, io.Outcome.FULL)
+            self._counter.end(call, io.Outcome.OVERLOADED)
         elif word == b"error":
             throttled_log.warning("counter: turned down %r", call.line)
             self._counter.end(call, io.Outcome.ERROR)
@@ -189,7 +189,7 @@
 
 
 class Counter:
-    def __init__(self, where: Address, wait_ms: float, done: Callable[[io.CountResult], None]):
+    def __init__(self, where: Address, wait_ms: float, done: Callable[[io.CounterResult], None]):
         self._where, self._wait_s, self._done = where, wait_ms / 1000.0, done
         self._loop = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task] = set()
@@ -231,7 +231,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def count(self, action: io.Count) -> None:
+    def count(self, action: io.CounterAdd) -> None:
         line = f"add {action.name} {action.amount:.7g} {max(1, round(action.ttl_ms))}\r\n".encode()
         call = Call(action.name, line, self._loop.time())
         link = self._link(zlib.crc32(action.name.encode()) % LINKS)
@@ -254,4 +254,4 @@
         if call.timer is not None:
             call.timer.cancel()
         if call.name:
-            self._done(io.CountResult(call.name, outcome, total, (self._loop.time() - call.asked) * 1000.0))
+            self._done(io.CounterResult(call.name, outcome, total, (self._loop.time() - call.asked) * 1000.0))
--- a/elderhub/discovery.py
+++ b/elderhub/discovery.py
@@ -57,7 +57,7 @@
     found = [entry for entry in map(_entry, raw.get("instances") or ()) if entry is not None]
     addresses = {backend.id: where for backend, where in found if where is not None}
     version, backends = int(raw.get("generation") or 0), tuple(backend for backend, _ in found)
-    return Listing(io.BackendsChanged(io.ListKind.REMEMBERED, version, backends), addresses)
+    return Listing(io.BackendsChanged(io.ListKind.CACHED, version, backends), addresses)
 
 
 def _entry(raw: dict) -> tuple[io.Backend, Address | None] | None:
@@ -322,7 +322,7 @@
 
     def _take(self, reader: Reader) -> bool:
         """Take in a slice of what came; whether there is more to do."""
-        taken, changes = self._taken, Listing(io.BackendsChanged(io.ListKind.CHANGES), {})
+        taken, changes = self._taken, Listing(io.BackendsChanged(io.ListKind.DELTA), {})
         backends: list[io.Backend] = []
         if taken.unnamed is None:
             part = reader.read(SLICE)
@@ -337,7 +337,7 @@
         if backends or ends:
             changes.event.version, changes.event.backends = taken.version or 0, tuple(backends)
             if self._silent_since is not None:
-                changes.event.silent_ms = (self._watch.heard_at - self._silent_since) * 1000.0
+                changes.event.outage_ms = (self._watch.heard_at - self._silent_since) * 1000.0
             self._told(changes)
         if ends:
             self._silent_since = None
--- a/elderhub/host.py
+++ b/elderhub/host.py
@@ -88,7 +88,7 @@
         settings = dataclasses.replace(
             config.settings,
             most_out=float(connections),
-            clocks_in_step=False,
+            clocks_in_sync=False,
             clock_origin_ms=self._clock.origin_ms,
         )
         self._module = Gateway(settings, config.seed)
@@ -102,12 +102,14 @@
             self, settings, int(min(config.sockets * CLIENT_SHARE, left * CLIENT_PART)), system
         )
         self.backends = Backends(settings, config.keepalive_ms, connections, system)
-        self.counter = Counter(config.counter, settings.counter_wait_ms, self.put) if config.counter else None
+        self.counter = (
+            Counter(config.counter, settings.counter_timeout_ms, self.put) if config.counter else None
+        )
         self.discovery = Discovery(
             config.discovery,
             config.known.event.version,
             self.listed,
-            settings.ask_every_ms / 1000.0 if settings.must_ask else 0.0,
+            settings.poll_interval_ms / 1000.0 if settings.must_poll else 0.0,
             system.random,
         )
         self.discovery.remember(config.known)
@@ -117,9 +119,9 @@
             io.Reject: self._reject,
             io.Fail: self._fail,
             io.Cancel: self._cancel,
-            io.Count: self._count,
+            io.CounterAdd: self._count,
             io.SetTimer: self._set_timer,
-            io.Tell: self.peers.tell,
+            io.SendPeerMessage: self.peers.tell,
             io.Probe: self._probe,
             io.CloseIdle: lambda a: self.backends.close_idle(a.backend),
             io.Subscribe: lambda a: self.discovery.restart(),
@@ -147,7 +149,7 @@
         except Exception:
             log.exception("the module failed on %r", event)
             # What it had decided by then is carried out, or calls would be missing that it waits for.
-            actions, self._module.acts = self._module.acts, []
+            actions, self._module.actions = self._module.actions, []
             self._give_up(getattr(event, "request", ""))
             self._loop.call_later(0.05, self.put, io.TimerFired(""))
         for action in actions:
@@ -157,7 +159,7 @@
                 log.exception("failed on %r", action)
                 self._give_up(getattr(action, "request", ""))
         kind = type(event)
-        if kind is io.ClientLeft or kind is io.AttemptEnded:
+        if kind is io.ClientDisconnected or kind is io.AttemptEnded:
             held = self._requests.get(event.request)
             if held is not None:
                 held.told = held.told or held.done
@@ -184,7 +186,7 @@
     def left(self, client: Client) -> None:
         held, client.held = client.held, None
         if self._close(held):
-            self.put(io.ClientLeft(held.id))
+            self.put(io.ClientDisconnected(held.id))
 
     def _wanted(self, held: OpenRequest) -> bool:
         """Whether the request is still open and its client there: asked before each send."""
@@ -220,7 +222,7 @@
     def _give_up(self, name: str) -> None:
         held = self._requests.get(name)
         if held is not None and self._answer(held, 500):
-            self.put(io.ClientLeft(name))
+            self.put(io.ClientDisconnected(name))
 
     def _reject(self, action: io.Reject) -> None:
         held = self._requests.get(action.request)
@@ -248,10 +250,10 @@
             number = held.sends if held else 0
             if held:
                 held.sends += 1
-            self.put(io.AttemptEnded(action.request, number, action.backend, io.Outcome.MOOT, True))
+            self.put(io.AttemptEnded(action.request, number, action.backend, io.Outcome.NOT_SENT, True))
             return
         now = self.now()
-        until = min(action.until_ms or held.deadline, held.deadline)
+        until = min(action.deadline_ms or held.deadline, held.deadline)
         if not held.head:
             held.head = held.message.head()
         until_s = self._loop.time() + (until - now) / 1000.0
@@ -296,7 +298,7 @@
             self.counter.move(counter)
 
     def listed(self, found: Listing) -> None:
-        if not found.event.backends and found.event.kind is io.ListKind.CHANGES:
+        if not found.event.backends and found.event.kind is io.ListKind.DELTA:
             return
         parted = self.backends.listed(found)
         self.put(found.event)
@@ -308,9 +310,9 @@
             gc.collect(1)
             gc.freeze()
 
-    def _count(self, action: io.Count) -> None:
+    def _count(self, action: io.CounterAdd) -> None:
         if self.counter is None:
-            self.put(io.CountResult(action.name, io.Outcome.CONNECT_FAILED))
+            self.put(io.CounterResult(action.name, io.Outcome.CONNECT_FAILED))
         else:
             self.counter.count(action)
 
--- a/elderhub/peers.py
+++ b/elderhub/peers.py
@@ -18,7 +18,7 @@
 
 class Peers(asyncio.DatagramProtocol):
     def __init__(self, config: Config, heard: Callable[[io.PeerMessage], None]):
-        self._peers, self._all, self._me = config.peers, config.peers_all, config.settings.me
+        self._peers, self._all, self._me = config.peers, config.peers_all, config.settings.node_id
         self._number: dict[Address, int] = {peer: i for i, peer in enumerate(config.peers)}
         self._heard = heard
         self._transport: asyncio.DatagramTransport | None = None
@@ -34,7 +34,7 @@
     def error_received(self, error: OSError) -> None:
         """A peer that is down: messages may be lost, nothing waits for them."""
 
-    def tell(self, action: io.Tell) -> None:
+    def tell(self, action: io.SendPeerMessage) -> None:
         if self._transport is None or self._transport.is_closing():
             return
         if len(action.payload) > MOST_BYTES:
--- a/emulator/agent.py
+++ b/emulator/agent.py
@@ -110,7 +110,7 @@
         """What a gateway's own agent has counts as told."""
         now = self._world.clock.now
         before = self.known
-        if event.kind is io.ListKind.CHANGES:
+        if event.kind is io.ListKind.DELTA:
             self.known = dict(before)
             self._changes = [*self._changes[1 - CHANGES_KEPT :], (event.version, event.backends)]
         else:
@@ -131,7 +131,7 @@
         self._answer_all()
         for watch in self._watches:
             if watch.begun and not watch.mute:
-                if event.kind is io.ListKind.CHANGES:
+                if event.kind is io.ListKind.DELTA:
                     watch.line(event.version, False, event.backends)
                 else:
                     watch.line(event.version, True, self.known.values())
--- a/emulator/checks.py
+++ b/emulator/checks.py
@@ -45,7 +45,7 @@
     name: str
     trying: Try
     text: bytes  # method, target and body, as they are to reach a backend
-    repeat: io.Repeat
+    repeat: io.Idempotency
     gateway: int
     life: int  # of that gateway
     sent_at: float
@@ -94,7 +94,7 @@
             self.breaks(now, "served with what no backend made for it", asked.name)
         if (
             asked.final == "refused"
-            and asked.repeat is io.Repeat.UNSAFE
+            and asked.repeat is io.Idempotency.UNSAFE
             and any(attempt.ran for attempt in asked.attempts)
         ):
             self.breaks(now, "refused what may have run", asked.name)
@@ -140,7 +140,7 @@
             self.breaks(now, "passed on changed", name)
         if any(earlier.out(attempt.sent_at) for earlier in asked.attempts):
             self.breaks(now, "two attempts at once", name)
-        if asked.repeat is io.Repeat.UNSAFE and any(earlier.ran for earlier in asked.attempts):
+        if asked.repeat is io.Idempotency.UNSAFE and any(earlier.ran for earlier in asked.attempts):
             self.breaks(now, "an unsafe request sent again that may have run", name)
         if attempt.sent_at > asked.left_at + LEFT_MS:
             self.breaks(now, "begun after its client left", name)
--- a/emulator/front.py
+++ b/emulator/front.py
@@ -143,7 +143,7 @@
         now = self._world.clock.now
         number = int(t.request[1:])
         kind = KINDS[t.kind].io_class
-        body = b"" if kind.repeat is io.Repeat.SAFE else b"x" * BODIES[number % len(BODIES)]
+        body = b"" if kind.idempotency is io.Idempotency.SAFE else b"x" * BODIES[number % len(BODIES)]
         method = b"POST" if body else b"GET"
         target = b"/api/%b" % event.customer.encode()
         name = f"{number:016x}"
@@ -151,7 +151,7 @@
             name,
             t,
             b"%b %b\n%b" % (method, target, body),
-            kind.repeat,
+            kind.idempotency,
             self._gateway.number,
             self._gateway.life,
             now,
--- a/emulator/gateway.py
+++ b/emulator/gateway.py
@@ -62,7 +62,7 @@
         seed, draws = self._rng.getrandbits(48), Random(self._rng.getrandbits(48))
         known = self.agent
         listing = Listing(
-            io.BackendsChanged(io.ListKind.REMEMBERED, known.version, tuple(known.known.values())),
+            io.BackendsChanged(io.ListKind.CACHED, known.version, tuple(known.known.values())),
             {name: address(name) for name in known.known},
         )
         config = Config(
@@ -122,7 +122,7 @@
             return
         clock = self._world.clock
         self._term_at = clock.now
-        longest = max(kind.deadline_ms for kind in self.settings.classes.values())
+        longest = max(kind.timeout_ms for kind in self.settings.classes.values())
         self._machine.event(self._stop.set)
         clock.at(clock.now + NOTICED_MS, self._noticed, self.life)
         clock.at(clock.now + min(longest, MOST_DEADLINE_S * 1000.0) + KILL_MS, self._end, self.life, True)
--- a/emulator/world.py
+++ b/emulator/world.py
@@ -150,7 +150,9 @@
 
     def account(self, customer: int, plan: io.Plan) -> Account:
         if customer not in self.accounts and plan.ceiling_rate:
-            plan = replace(plan, ceiling_slack=plan.ceiling_slack + CEILING_SLACK_S * plan.ceiling_rate)
+            plan = replace(
+                plan, ceiling_tolerance=plan.ceiling_tolerance + CEILING_SLACK_S * plan.ceiling_rate
+            )
         return super().account(customer, plan)
 
     # What may happen to them.
--- a/scale/clients.py
+++ b/scale/clients.py
@@ -37,8 +37,8 @@
 
 
 KINDS = (
-    Kind(io.RequestClass("check-photo", 1200.0, 5000.0, io.Repeat.SAFE, worth=3.0), 0.55, 127.0, 1.1),
-    Kind(io.RequestClass("file-result", 500.0, 1500.0, io.Repeat.UNSAFE, worth=2.0), 0.45, 78.0, 0.8),
+    Kind(io.RequestClass("check-photo", 1200.0, 5000.0, io.Idempotency.SAFE, worth=3.0), 0.55, 127.0, 1.1),
+    Kind(io.RequestClass("file-result", 500.0, 1500.0, io.Idempotency.UNSAFE, worth=2.0), 0.45, 78.0, 0.8),
 )
 MEAN_WORK_MS = sum(kind.share * kind.work_ms for kind in KINDS)
 
@@ -70,10 +70,10 @@
         found[-1],
         plan=replace(
             top,
-            open_limit=out,
+            max_concurrency=out,
             ceiling_rate=top.rate * times,
             ceiling_burst=ceiling_burst,
-            ceiling_slack=max(0.1 * ceiling_burst, float(MOST_UNITS)),
+            ceiling_tolerance=max(0.1 * ceiling_burst, float(MOST_UNITS)),
         ),
     )
     return tuple(found)
@@ -111,7 +111,7 @@
     def __init__(self, request: str, customer: int, kind: int, units: float, work_ms: float, now: float):
         self.request, self.customer, self.kind = request, customer, kind
         self.units, self.work_ms, self.first_at = units, work_ms, now
-        self.deadline = now + KINDS[kind].io_class.deadline_ms
+        self.deadline = now + KINDS[kind].io_class.timeout_ms
         self.number = 0  # of this try among those of its request
         self.inside = False  # what the first try asked was inside the quota
         self._again(now)
@@ -308,7 +308,7 @@
         if how == "served":
             w.record.served += 1
             w.record.answered.record_value(max(1, int((now - t.first_at) * 1000.0)))
-            if now - t.first_at > KINDS[t.kind].io_class.aim_ms:
+            if now - t.first_at > KINDS[t.kind].io_class.target_latency_ms:
                 w.record.served_late += 1
             elif t.inside:
                 w.record.worth_served += t.worth
@@ -316,7 +316,7 @@
                 second.served += t.worth
                 second.served_by_plan[self._plan[t.customer].name] += t.worth
             return
-        safe = KINDS[t.kind].io_class.repeat is io.Repeat.SAFE
+        safe = KINDS[t.kind].io_class.idempotency is io.Idempotency.SAFE
         if t.number >= RETRIES or not safe and how not in ("refused", "unreachable"):
             return
         wait = self._rng.uniform(*BACKOFF_MS) * 2.0**t.number
--- a/scale/costs.py
+++ b/scale/costs.py
@@ -47,7 +47,7 @@
         counter=True,
         plans=plans,
         may_cancel=True,
-        classes={"look": io.RequestClass("look", repeat=io.Repeat.SAFE)},
+        classes={"look": io.RequestClass("look", idempotency=io.Idempotency.SAFE)},
         most_attempts=6,
         cold_ms=12000.0,
     )
@@ -56,7 +56,7 @@
 def ready(backends: int) -> Gateway:
     plan = io.Plan("team", rate=10.0, burst=20.0, overrun_cost=0.6)
     gateway = Gateway(settings({"team": plan}), seed=1)
-    gateway.handle(1000.0, io.BackendsChanged(io.ListKind.REMEMBERED, 1, entries(backends)))
+    gateway.handle(1000.0, io.BackendsChanged(io.ListKind.CACHED, 1, entries(backends)))
     return gateway
 
 
@@ -69,13 +69,13 @@
 def whole_list(sized: Sized) -> dict[str, float]:
     """The module takes in a whole list, as a gateway does that knows the backends already."""
     gateway = ready(sized.size)
-    event = io.BackendsChanged(io.ListKind.WHOLE, 2, entries(sized.size, 1.1))
+    event = io.BackendsChanged(io.ListKind.COMPLETE, 2, entries(sized.size, 1.1))
     return {"ms": min(_ms(lambda: gateway.handle(2000.0, event)) for _ in range(BEST_OF))}
 
 
 def one_change(sized: Sized) -> dict[str, float]:
     """The module takes in a change of one entry."""
-    gateway, event = ready(sized.size), io.BackendsChanged(io.ListKind.CHANGES, 2, entries(1, 1.1))
+    gateway, event = ready(sized.size), io.BackendsChanged(io.ListKind.DELTA, 2, entries(1, 1.1))
 
     def several() -> None:
         for _ in range(CHANGES):
@@ -89,7 +89,7 @@
     listed = entries(sized.size)
     tracemalloc.start()
     gateway = Gateway(settings({}), seed=1)
-    gateway.handle(1000.0, io.BackendsChanged(io.ListKind.REMEMBERED, 1, listed))
+    gateway.handle(1000.0, io.BackendsChanged(io.ListKind.CACHED, 1, listed))
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return {"kb": size / 1024.0 / sized.size}
@@ -108,8 +108,8 @@
         )
         while line:
             act = line.pop(0)
-            if isinstance(act, io.Count):
-                line += gateway.handle(now, io.CountResult(act.name, io.Outcome.OK, act.amount, 1.0))
+            if isinstance(act, io.CounterAdd):
+                line += gateway.handle(now, io.CounterResult(act.name, io.Outcome.OK, act.amount, 1.0))
             elif isinstance(act, io.Send):
                 line += gateway.handle(
                     now, io.AttemptEnded(act.request, 0, act.backend, io.Outcome.OK, True, 100.0)
--- a/scale/counter.py
+++ b/scale/counter.py
@@ -32,8 +32,10 @@
         self.unanswered = 0  # timed out, turned away or not reached
         clock.at(clock.now + SWEEP_MS, self._sweep)
 
-    def call(self, zone: str, ask: io.Count, plan: str, answer: Callable[[io.CountResult], None]) -> None:
-        """Gets exactly one `CountResult`, in the order of the calls of one name and caller."""
+    def call(
+        self, zone: str, ask: io.CounterAdd, plan: str, answer: Callable[[io.CounterResult], None]
+    ) -> None:
+        """Gets exactly one `CounterResult`, in the order of the calls of one name and caller."""
         self.calls[plan] += 1
         sent = self._clock.now
         if self.gone or not self._links.reach(zone, self._zone):
@@ -42,12 +44,12 @@
         link_ms = self._links.delay(zone, self._zone)
         self._clock.at(sent + link_ms, self._take, ask, sent, link_ms, answer)
 
-    def _unheard(self, ask: io.Count, sent: float, answer) -> None:
+    def _unheard(self, ask: io.CounterAdd, sent: float, answer) -> None:
         self.unanswered += 1
-        result = io.CountResult(ask.name, io.Outcome.TIMEOUT, 0.0, self._wait_ms)
+        result = io.CounterResult(ask.name, io.Outcome.TIMEOUT, 0.0, self._wait_ms)
         self._clock.at(sent + self._wait_ms, answer, result)
 
-    def _take(self, ask: io.Count, sent: float, link_ms: float, answer) -> None:
+    def _take(self, ask: io.CounterAdd, sent: float, link_ms: float, answer) -> None:
         if self.gone:
             self._unheard(ask, sent, answer)
             return
@@ -55,7 +57,7 @@
         found = self.add(ask.name, ask.amount, ask.ttl_ms)
         if found is None:
             self.unanswered += 1
-            result = io.CountResult(ask.name, io.Outcome.FULL, 0.0, now + link_ms - sent)
+            result = io.CounterResult(ask.name, io.Outcome.OVERLOADED, 0.0, now + link_ms - sent)
             self._clock.at(now + link_ms, answer, result)
             return
         done, total = found
@@ -63,7 +65,7 @@
         if took > self._wait_ms:
             self._unheard(ask, sent, answer)
         else:
-            result = io.CountResult(ask.name, io.Outcome.OK, float(f"{total:.7g}"), took)
+            result = io.CounterResult(ask.name, io.Outcome.OK, float(f"{total:.7g}"), took)
             self._clock.at(done + link_ms, answer, result)
 
     def add(self, name: str, amount: float, ttl_ms: float) -> tuple[float, float] | None:
--- a/scale/discovery.py
+++ b/scale/discovery.py
@@ -32,7 +32,7 @@
     def join(self, gateway) -> None:
         """A gateway has started: the list as it last had it comes at once, what it missed soon after."""
         entries = tuple(self.entries.values())
-        gateway.listed(io.BackendsChanged(io.ListKind.REMEMBERED, self.version, entries))
+        gateway.listed(io.BackendsChanged(io.ListKind.CACHED, self.version, entries))
         self._told[gateway] = self.version
         self._due[gateway] = 0.0
 
@@ -48,7 +48,7 @@
                 self.entries.pop(entry.id, None)
             else:
                 self.entries[entry.id] = entry
-        event = io.BackendsChanged(io.ListKind.CHANGES, self.version, tuple(entries))
+        event = io.BackendsChanged(io.ListKind.DELTA, self.version, tuple(entries))
         for gateway in self._told:
             if self.down or gateway in self._behind or not self._links.reach(gateway.zone, self._zone):
                 self._behind[gateway] = True
@@ -58,13 +58,13 @@
 
     def catch_up(self) -> None:
         """Discovery, or the link to it, is back: who missed anything gets the whole list."""
-        event = io.BackendsChanged(io.ListKind.WHOLE, self.version, tuple(self.entries.values()))
+        event = io.BackendsChanged(io.ListKind.COMPLETE, self.version, tuple(self.entries.values()))
         behind, self._behind = self._behind, {}
         for gateway in behind:
             self._on_the_way(gateway, event)
 
     def fetch(self, gateway) -> None:
-        event = io.BackendsChanged(io.ListKind.WHOLE, self.version, tuple(self.entries.values()))
+        event = io.BackendsChanged(io.ListKind.COMPLETE, self.version, tuple(self.entries.values()))
         self._on_the_way(gateway, event)
 
     def _on_the_way(self, gateway, event: io.BackendsChanged) -> None:
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -52,14 +52,14 @@
             io.Reject: self._reject,
             io.Fail: self._fail,
             io.Cancel: self._cancel,
-            io.Count: self._count,
+            io.CounterAdd: self._count,
             io.SetTimer: self._set_timer,
             io.Probe: self._probe,
             io.CloseIdle: self._close_idle,
             io.Subscribe: self._fetch,
             io.Fetch: self._fetch,
             io.Log: self._log,
-            io.Tell: self._tell,
+            io.SendPeerMessage: self._tell,
         }
         world.clock.at(world.clock.now + SWEEP_MS, self._sweep)
 
@@ -84,12 +84,12 @@
         """The client has gone."""
         if self._open.pop(t.request, None) is not None:
             t.done = True
-            self.put(io.ClientLeft(t.request))
+            self.put(io.ClientDisconnected(t.request))
 
     def listed(self, event: io.BackendsChanged) -> None:
         now = self.world.clock.now
         named = {entry.id for entry in event.backends}
-        if event.kind is not io.ListKind.CHANGES:
+        if event.kind is not io.ListKind.DELTA:
             for gone in [name for name in self._pools if name not in named]:
                 self._left_at.setdefault(gone, now)
         for entry in event.backends:
@@ -111,7 +111,7 @@
     def _broken(self, what: str) -> None:
         self.world.record.broken[what] += 1
 
-    def _tell(self, action: io.Tell) -> None:
+    def _tell(self, action: io.SendPeerMessage) -> None:
         self._broken("message to a peer, which the settings do not allow")
 
     # The end of a request.
@@ -134,7 +134,7 @@
         if t is None:
             return
         w = self.world
-        if KINDS[t.kind].io_class.repeat is io.Repeat.UNSAFE and (t.ran or t.out):
+        if KINDS[t.kind].io_class.idempotency is io.Idempotency.UNSAFE and (t.ran or t.out):
             self._broken("refused what may have run")
         w.record.refused += 1
         if not t.sends:
@@ -159,7 +159,7 @@
             return
         if t.out and not self.settings.may_duplicate:
             self._broken("two attempts at once")
-        if t.ran and KINDS[t.kind].io_class.repeat is io.Repeat.UNSAFE:
+        if t.ran and KINDS[t.kind].io_class.idempotency is io.Idempotency.UNSAFE:
             self._broken("repeated what may have run")
         left_at = self._left_at.get(action.backend)
         if left_at is not None and now > left_at + self.settings.drain_grace_ms + SOCKETS_MS:
@@ -185,7 +185,7 @@
     def _account(self, t: Try, account, now: float) -> None:
         w = self.world
         w.record.decided.record_value(max(1, int((now - t.arrived) * 1000.0)))
-        w.record.waited += isinstance(self._event, io.CountResult)
+        w.record.waited += isinstance(self._event, io.CounterResult)
         if account.over_ceiling(now, t.units):
             self._broken("over the ceiling")
         t.within = account.sent(now, t.units)
@@ -239,7 +239,7 @@
             w.stop(backend, Health.DEAD)
         done = None if backend.health is Health.DEAD else backend.serve(attempt.trying.work_ms)
         if done is None:
-            w.clock.at(w.clock.now + link_ms, self._ended, attempt, io.Outcome.FULL)
+            w.clock.at(w.clock.now + link_ms, self._ended, attempt, io.Outcome.OVERLOADED)
             return
         backend.held.add(attempt)
         outcome = io.Outcome.ERROR if w.rng.random() < ERRORS else io.Outcome.OK
@@ -279,7 +279,7 @@
         attempt.over = True
         w.record.outcomes[outcome.value] += 1
         if attempt.life >= 0:
-            kept = outcome in (io.Outcome.OK, io.Outcome.ERROR, io.Outcome.FULL)
+            kept = outcome in (io.Outcome.OK, io.Outcome.ERROR, io.Outcome.OVERLOADED)
             attempt.pool.end(now, attempt.life, kept)
         w.accounts[t.customer].out -= 1
         del t.out[attempt.number]
@@ -320,7 +320,7 @@
 
     # All else.
 
-    def _count(self, action: io.Count) -> None:
+    def _count(self, action: io.CounterAdd) -> None:
         """A call is booked to the plan whose request brought it about."""
         event = self._event
         if isinstance(event, io.RequestArrived):
--- a/scale/oracle.py
+++ b/scale/oracle.py
@@ -47,7 +47,7 @@
 
     def sent(self, now: float, units: float) -> bool:
         """A try is sent on for the first time; whether it is inside the quota, whose units it then takes."""
-        if self.plan.open_limit and self.out >= self.plan.open_limit:
+        if self.plan.max_concurrency and self.out >= self.plan.max_concurrency:
             return False
         return self._quota.take(now, units)
 
@@ -56,11 +56,11 @@
         if self._ceiling is None:
             return False
         self._ceiling.level = self._ceiling.fill(now) - units
-        return self._ceiling.level < -self.plan.ceiling_slack - EXACT
+        return self._ceiling.level < -self.plan.ceiling_tolerance - EXACT
 
     def room(self, now: float, units: float) -> tuple[bool, bool]:
         """A try is refused: whether it was inside each quota, and half of each was unused besides."""
-        limit = self.plan.open_limit
+        limit = self.plan.max_concurrency
         left = self._quota.fill(now) - units
         fits = left >= -EXACT and (not limit or self.out < limit)
         return fits, fits and left >= self.plan.burst / 2.0 and (not limit or self.out <= limit / 2.0)
--- a/scale/world.py
+++ b/scale/world.py
@@ -126,16 +126,16 @@
     def settings(self, number: int, zone: str) -> io.Settings:
         """What that gateway is told at its start."""
         return io.Settings(
-            me=number,
+            node_id=number,
             gateways=self.options.fleet or self.options.gateways,
             zone=zone,
             tick_ms=4.0,
             classes={kind.io_class.name: kind.io_class for kind in KINDS},
             plans=self.clients.plans,
             counter=True,
-            counter_wait_ms=COUNTER_WAIT_MS,
+            counter_timeout_ms=COUNTER_WAIT_MS,
             counter_price=0.02,
-            most_units=float(MOST_UNITS),
+            max_units=float(MOST_UNITS),
             may_cancel=True,
             may_probe=True,
             may_advise=True,
--- a/tests/fleet_clock_world.py
+++ b/tests/fleet_clock_world.py
@@ -6,11 +6,11 @@
 from cobaltline import interface as io
 from cobaltline.clock_checkpoint import ClockCheckpoint
 from cobaltline.fleet_clock import FleetClock
-from cobaltline.fleet_time import NAME_LIFE_MS, FleetTime, short_way
+from cobaltline.fleet_time import MAX_COUNTER_TTL_MS, FleetTime, wrap_difference_ms
 
 NOON_MS = 1_800_000_000_000.0
 WAY_MS = (0.3, 3.0)  # of a call, to the counter and back
-CLOSE_MS = 500.0  # the gateways' times are within this: far less than a step
+AGREEMENT_MS = 500.0  # the gateways' times are within this: far less than a step
 
 
 class Machine:
@@ -34,22 +34,23 @@
         return self.clock.time.offset_ms + self.step_ms
 
 
-class World:
+class ClockSimulation:
     """Time in ms from 0. A call that is out reaches the counter whatever becomes of its process."""
 
-    def __init__(self, steps_ms, seed=1, together_ms=0.0):
+    def __init__(self, steps_ms, seed=1, start_spread_ms=0.0):
         self.now, self.todo, self.seq, self.rng = 0.0, [], 0, Random(seed)
-        self.names, self.calls, self.down = {}, 0, False  # names: total, and when it was made
-        self.lost = 0.0  # share of answers that never come
+        # names: total, and when it was made
+        self.totals, self.call_count, self.is_counter_down = {}, 0, False
+        self.lost_share = 0.0  # share of answers that never come
         self.size = len(steps_ms)
         self.processes = []
         for step_ms in steps_ms:
-            self.start(step_ms, self.rng.random() * together_ms)
+            self.start(step_ms, self.rng.random() * start_spread_ms)
 
     def make_clock(self, machine, step_ms):
         origin_ms = NOON_MS + step_ms - machine.uptime_ms  # of its own clock, when the machine started
         checkpoint = ClockCheckpoint(machine.number, origin_ms)
-        return FleetClock(FleetTime(known=False), self.size, Random(self.rng.random()), checkpoint)
+        return FleetClock(FleetTime(is_known=False), self.size, Random(self.rng.random()), checkpoint)
 
     def start(self, step_ms, after_ms=0.0, machine=None):
         """A new process, on that machine or on one of its own."""
@@ -79,30 +80,30 @@
 
     def send(self, process, call):
         if call is None:
-            self.later(max(1.0, process.clock.next_at - process.own_ms(self.now)), self.look, process)
+            self.later(max(1.0, process.clock.next_read_at - process.own_ms(self.now)), self.look, process)
             return
-        self.calls += 1
+        self.call_count += 1
         self.later(self.rng.uniform(*WAY_MS) / 2, self.add, process, call, self.now)
 
     def add(self, process, call, sent_at):
-        if self.down:
-            result = io.CountResult(call.name, io.Outcome.FULL)
+        if self.is_counter_down:
+            result = io.CounterResult(call.name, io.Outcome.OVERLOADED)
         else:
-            total, made_at = self.names.get(call.name, (0.0, self.now))
-            if not total and not call.amount or self.now - made_at > NAME_LIFE_MS:
+            total, made_at = self.totals.get(call.name, (0.0, self.now))
+            if not total and not call.amount or self.now - made_at > MAX_COUNTER_TTL_MS:
                 total, made_at = 0.0, self.now
-            self.names[call.name] = total + call.amount, made_at
-            result = io.CountResult(call.name, io.Outcome.OK, float(f"{total + call.amount:.7g}"))
-            if self.rng.random() < self.lost:
-                result = io.CountResult(call.name, io.Outcome.TIMEOUT)
+            self.totals[call.name] = total + call.amount, made_at
+            result = io.CounterResult(call.name, io.Outcome.OK, float(f"{total + call.amount:.7g}"))
+            if self.rng.random() < self.lost_share:
+                result = io.CounterResult(call.name, io.Outcome.TIMEOUT)
         self.later(self.rng.uniform(*WAY_MS) / 2, self.answer, process, result, sent_at)
 
     def answer(self, process, result, sent_at):
         result.elapsed_ms = self.now - sent_at
         if process.running:
-            self.send(process, process.clock.answered(process.own_ms(self.now), result))
+            self.send(process, process.clock.on_result(process.own_ms(self.now), result))
 
-    def play(self, ms):
+    def run(self, ms):
         end = self.now + ms
         while self.todo and self.todo[0][0] <= end:
             self.now, _, what, args = heapq.heappop(self.todo)
@@ -113,10 +114,13 @@
     def clocks(self):
         return [process.clock for process in self.processes]
 
-    def offs(self):
+    def offsets_ms(self):
         """By how many ms each gateway's time differs from the first one's, the short way round."""
         first = self.processes[0].fleet_ahead_ms()
-        return [short_way(process.fleet_ahead_ms() - first) for process in self.processes]
+        return [wrap_difference_ms(process.fleet_ahead_ms() - first) for process in self.processes]
 
-    def agree(self):
-        return all(clock.time.known for clock in self.clocks) and max(map(abs, self.offs())) < CLOSE_MS
+    def clocks_agree(self):
+        return (
+            all(clock.time.is_known for clock in self.clocks)
+            and max(map(abs, self.offsets_ms())) < AGREEMENT_MS
+        )
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -53,12 +53,20 @@
 
 
 def test_settings_are_read_and_unknown_keys_skipped():
-    s = adapter.settings_from(INFO)
-    assert s.me == 1 and s.gateways == 2 and s.counter and s.counter_wait_ms == 40.0 and s.most_attempts == 3
-    assert s.classes["read"].repeat is io.Repeat.SAFE and s.classes["read"].aim_ms == 900.0
-    assert s.classes["odd"].repeat is io.Repeat.UNSAFE
-    assert s.plans["p"].rate == 2.0 and s.plans["p"].burst == 6.0 and s.plans["p"].open_limit == 3
-    assert s.reports == ("busy_reqs",) and s.reports_on_answers
+    s = adapter.parse_settings(INFO)
+    assert (
+        s.node_id == 1
+        and s.gateways == 2
+        and s.counter
+        and s.counter_timeout_ms == 40.0
+        and s.most_attempts == 3
+    )
+    assert (
+        s.classes["read"].idempotency is io.Idempotency.SAFE and s.classes["read"].target_latency_ms == 900.0
+    )
+    assert s.classes["odd"].idempotency is io.Idempotency.UNSAFE
+    assert s.plans["p"].rate == 2.0 and s.plans["p"].burst == 6.0 and s.plans["p"].max_concurrency == 3
+    assert s.load_report_fields == ("busy_reqs",) and s.has_inline_load_reports
 
 
 def test_an_empty_settings_object_is_enough():
@@ -89,9 +97,9 @@
             "rq_a", 2, "b:1", io.Outcome.ERROR, False, 18.5, 85, 3.0, {"busy_reqs": 7.0, "cpu_share": 0.5}
         ),
     ),
-    ("SUM", "gateway-1 n 4 - 50", io.CountResult("n", io.Outcome.TIMEOUT, 0.0, 50.0)),
+    ("SUM", "gateway-1 n 4 - 50", io.CounterResult("n", io.Outcome.TIMEOUT, 0.0, 50.0)),
     ("ALARM", "gateway-1 sweep", io.TimerFired("sweep")),
-    ("CLIENT_LEFT", "gateway-1 rq_a", io.ClientLeft("rq_a")),
+    ("CLIENT_LEFT", "gateway-1 rq_a", io.ClientDisconnected("rq_a")),
     ("FIRST", "gateway-1 rq_a 5.5 b:1 1", io.StreamStarted("rq_a", 1, "b:1", 5.5)),
     ("STATUS_BACK", "gateway-1 b:1 0 3 -", io.ProbeResult("b:1", io.Outcome.OK, 3.0, None)),
     ("NEIGHBOUR_SAYS", "gateway-1 2 aGkgNw==", io.PeerMessage(2, b"hi 7")),
@@ -115,10 +123,10 @@
     (io.Reject("r", 12.0), "BUSY w r 12.000"),
     (io.Fail("r"), "FINISH_ERROR w r"),
     (io.Cancel("r", 2), "UNDO_SEND w r 2"),
-    (io.Count("n", -1.5, 3000.0), "ADD w 3000.000 -1.5 n"),
+    (io.CounterAdd("n", -1.5, 3000.0), "ADD w 3000.000 -1.5 n"),
     (io.SetTimer("t", 5.0), "WAKE_AT w 5.000 t"),
-    (io.Tell(b"hi 7"), "NOTIFY w all aGkgNw=="),
-    (io.Tell(b"", 3), "NOTIFY w 3 -"),
+    (io.SendPeerMessage(b"hi 7"), "NOTIFY w all aGkgNw=="),
+    (io.SendPeerMessage(b"", 3), "NOTIFY w 3 -"),
     (io.Probe("b:1"), "ASK_LOAD w b:1"),
     (io.CloseIdle("b:1"), "CLOSE w b:1"),
     (io.Subscribe(False), "OBSERVE w 0"),
@@ -170,7 +178,7 @@
 
 
 def test_an_exit_forgets_the_instance():
-    with pytest.raises(adapter.Malformed):
+    with pytest.raises(adapter.MalformedInput):
         run(START + "FRAME 1004.5 2\nEXIT gateway-1\nALARM gateway-1 t\nCOMMIT\n")
 
 
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -136,7 +136,7 @@
         sender = Sender(backend.port)
         sender.send(0)
         await until(lambda: sender.ended)
-        assert sender.outcomes() == [io.Outcome.SPOILT]
+        assert sender.outcomes() == [io.Outcome.UNUSABLE_RESPONSE]
         await until(lambda: not sender.backends._pools["b0"].all)
         backend.server.close()
 
@@ -150,7 +150,7 @@
         sender = Sender(backend.port)
         sender.send(0)
         await until(lambda: sender.ended)
-        assert sender.outcomes() == [io.Outcome.SPOILT]
+        assert sender.outcomes() == [io.Outcome.UNUSABLE_RESPONSE]
         assert len(sender.backends._pools["b0"].free) == 1
         backend.server.close()
 
@@ -363,7 +363,9 @@
     def list(self, *ports):
         entries = tuple(io.Backend(f"b{i}") for i in range(len(ports)))
         where = {f"b{i}": ("127.0.0.1", port) for i, port in enumerate(ports)}
-        for pool in self.backends.listed(Listing(io.BackendsChanged(io.ListKind.WHOLE, 1, entries), where)):
+        for pool in self.backends.listed(
+            Listing(io.BackendsChanged(io.ListKind.COMPLETE, 1, entries), where)
+        ):
             pool.close()
 
     def send(self, number, body=b""):
@@ -448,7 +450,7 @@
                 if whole:
                     await loop.sock_sendall(accepted, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
                 await until(lambda: exchange.over)
-            assert sender.outcomes() == [io.Outcome.OK if whole else io.Outcome.MOOT]
+            assert sender.outcomes() == [io.Outcome.OK if whole else io.Outcome.NOT_SENT]
 
     run(scene)
 
@@ -649,7 +651,7 @@
         async def pool(port, started_ms=0.0):
             entry = io.Backend("b0", started_ms=started_ms)
             where = {"b0": ("127.0.0.1", port)}
-            sender.backends.listed(Listing(io.BackendsChanged(io.ListKind.CHANGES, 2, (entry,)), where))
+            sender.backends.listed(Listing(io.BackendsChanged(io.ListKind.DELTA, 2, (entry,)), where))
             exchange = sender.send(0)
             await until(lambda: exchange.over)
             return sender.backends._pools["b0"]
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -7,13 +7,13 @@
 from elderhub import checks
 
 SETTINGS = io.Settings(
-    me=1,
+    node_id=1,
     gateways=4,
-    most_units=2.0,
+    max_units=2.0,
     plans={"p": io.Plan("p")},
     classes={
-        "read": io.RequestClass("read", deadline_ms=7000.0, repeat=io.Repeat.SAFE),
-        "hold": io.RequestClass("hold", deadline_ms=7000.0, repeat=io.Repeat.KEYED),
+        "read": io.RequestClass("read", timeout_ms=7000.0, idempotency=io.Idempotency.SAFE),
+        "hold": io.RequestClass("hold", timeout_ms=7000.0, idempotency=io.Idempotency.KEYED),
     },
 )
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -9,11 +9,15 @@
 from helpers import settings
 
 from cobaltline import interface as io
-from cobaltline.brain import Gateway
+from cobaltline.gateway import Gateway
 
 CLASSES = {
     name: io.RequestClass(name, 6000.0, 8000.0, repeat, "zone", 4000.0)
-    for name, repeat in (("read", io.Repeat.SAFE), ("hold", io.Repeat.KEYED), ("pay", io.Repeat.UNSAFE))
+    for name, repeat in (
+        ("read", io.Idempotency.SAFE),
+        ("hold", io.Idempotency.KEYED),
+        ("pay", io.Idempotency.UNSAFE),
+    )
 }
 
 
@@ -35,7 +39,8 @@
         self.fullest = 0.0  # by the budget as the operators' notes word it
         self.cold_came, self.left_at = [], 0.0  # when requests came to cold ones; when the warm ones left
         self.gateways = [
-            Gateway(settings(me=i, gateways=gateways, **changes), seed * 1000 + i) for i in range(gateways)
+            Gateway(settings(node_id=i, gateways=gateways, **changes), seed * 1000 + i)
+            for i in range(gateways)
         ]
         self.join(warm, 0.0, "w")
 
@@ -54,7 +59,7 @@
 
     def tell(self):
         for i in range(len(self.gateways)):
-            self.put(i, io.BackendsChanged(io.ListKind.WHOLE, 1, tuple(self.entries.values())))
+            self.put(i, io.BackendsChanged(io.ListKind.COMPLETE, 1, tuple(self.entries.values())))
 
     def later(self, ms, what, *args):
         self.seq += 1
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -20,7 +20,7 @@
 
     def call(self, *names):
         for name in names:
-            self.counter.count(io.Count(name, 1.0, 4000.0))
+            self.counter.count(io.CounterAdd(name, 1.0, 4000.0))
 
     async def outcomes(self, count=1):
         await until(lambda: len(self.told) >= count)
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize(
     "answer,outcome,total",
     [
-        (b"busy\r\n", io.Outcome.FULL, 0.0),
+        (b"busy\r\n", io.Outcome.OVERLOADED, 0.0),
         (b"error\r\n", io.Outcome.ERROR, 0.0),
         (b"ok 7.5\r\n", io.Outcome.OK, 7.5),
         (b"ok -3e-05\r\n", io.Outcome.OK, -3e-05),
--- a/tests/test_crowded.py
+++ b/tests/test_crowded.py
@@ -3,10 +3,10 @@
 import heapq
 import random
 
-from helpers import Play, answers, of, settings
+from helpers import GatewayHarness, final_answers, of_type, settings
 
 from cobaltline import interface as io
-from cobaltline.brain import Gateway
+from cobaltline.gateway import Gateway
 
 GATEWAYS, WAIT_MS, LINE_MS = 40, 50.0, 150.0
 
@@ -23,12 +23,12 @@
         self.stores, self.n, self.units = {}, 0, {}
         self.inside = self.beyond = self.answered = self.missed = 0.0
         self.gateways = [
-            Gateway(settings(me=i, gateways=GATEWAYS, plans={"basic": self.plan}, **changes), i)
+            Gateway(settings(node_id=i, gateways=GATEWAYS, plans={"basic": self.plan}, **changes), i)
             for i in range(GATEWAYS)
         ]
         entries = tuple(io.Backend(f"b{k}", zone="z1") for k in range(40))
         for i in range(GATEWAYS):
-            self.put(i, io.BackendsChanged(io.ListKind.REMEMBERED, 1, entries))
+            self.put(i, io.BackendsChanged(io.ListKind.CACHED, 1, entries))
 
     def later(self, ms, what, *args):
         self.seq += 1
@@ -36,7 +36,7 @@
 
     def put(self, i, event):
         for a in self.gateways[i].handle(self.now, event):
-            if isinstance(a, io.Count):
+            if isinstance(a, io.CounterAdd):
                 self.count(i, a)
             elif isinstance(a, io.SetTimer):
                 self.later(a.delay_ms, self.put, i, io.TimerFired(a.token))
@@ -49,20 +49,20 @@
         wait = max(0.0, self.free_at - self.now)
         if wait > LINE_MS:
             self.missed += 1
-            self.later(1.0, self.put, i, io.CountResult(call.name, io.Outcome.FULL))
+            self.later(1.0, self.put, i, io.CounterResult(call.name, io.Outcome.OVERLOADED))
             return
         self.free_at = self.now + wait + self.each_ms
         self.later(wait, self.added, i, call, wait + 1.0)
         if wait + 1.0 > WAIT_MS:
             self.missed += 1
-            self.later(WAIT_MS, self.put, i, io.CountResult(call.name, io.Outcome.TIMEOUT))
+            self.later(WAIT_MS, self.put, i, io.CounterResult(call.name, io.Outcome.TIMEOUT))
         else:
             self.answered += 1
 
     def added(self, i, call, took):
         total = self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount
         if took <= WAIT_MS:
-            self.later(1.0, self.put, i, io.CountResult(call.name, io.Outcome.OK, total, took))
+            self.later(1.0, self.put, i, io.CounterResult(call.name, io.Outcome.OK, total, took))
 
     def sent(self, send):
         customer, units = self.units[send.request]
@@ -114,7 +114,7 @@
 
 
 def thin(**changes):
-    return Play(
+    return GatewayHarness(
         gateways=GATEWAYS,
         plans={
             "basic": io.Plan("basic", rate=2.0, burst=16.0, overrun_cost=0.8),
@@ -126,50 +126,52 @@
 
 def test_a_large_request_gets_its_call_before_a_small_one():
     p = thin()
-    p.g.gap, p.g.call_at = 100.0, p.now + 50.0
-    assert not of(p.request(plan="basic", spread=40, customer="small")[1], io.Count)
-    assert of(p.request(plan="basic", spread=40, customer="large", units=8.0)[1], io.Count)
+    p.gateway.gap_ms, p.gateway.next_call_at = 100.0, p.now + 50.0
+    assert not of_type(p.request(plan="basic", spread=40, customer="small")[1], io.CounterAdd)
+    assert of_type(p.request(plan="basic", spread=40, customer="large", units=8.0)[1], io.CounterAdd)
 
 
 def test_who_is_let_in_unasked_depends_on_what_borrows_found_and_on_its_cost():
     p = thin()
-    p.g.rng.random = lambda: 0.5
-    p.g.gap, p.g.call_at = 800.0, p.now + 1e6
-    assert of(p.request(plan="basic", spread=40, customer="a")[1], io.Send)
-    p.g.short = 0.5
+    p.gateway.rng.random = lambda: 0.5
+    p.gateway.gap_ms, p.gateway.next_call_at = 800.0, p.now + 1e6
+    assert of_type(p.request(plan="basic", spread=40, customer="a")[1], io.Send)
+    p.gateway.short_share = 0.5
     name, out = p.request(plan="basic", spread=40, customer="b")
-    assert answers(out, name) and not of(out, io.Send)
-    assert of(p.request(plan="cheap", spread=40, customer="b")[1], io.Send)
+    assert final_answers(out, name) and not of_type(out, io.Send)
+    assert of_type(p.request(plan="cheap", spread=40, customer="b")[1], io.Send)
 
 
 def test_the_share_of_borrows_found_short_follows_what_the_counter_says():
     p = thin()
     for i in range(200):
         _, out = p.request(plan="basic", spread=40, customer=f"c{i}")
-        (call,) = of(out, io.Count)
-        p.counted([call], {call.name: 99.0 if i % 2 else 0.0})
-    assert 0.4 < p.g.short < 0.6
+        (call,) = of_type(out, io.CounterAdd)
+        p.answer_counts([call], {call.name: 99.0 if i % 2 else 0.0})
+    assert 0.4 < p.gateway.short_share < 0.6
 
 
 def test_a_counter_that_was_away_is_asked_as_often_as_before_soon_after_its_return():
     p = thin()
     for i in range(20):
         p.now += 1000.0
-        p.counted(p.request(plan="basic", spread=40, customer=f"a{i}")[1], outcome=io.Outcome.FULL)
-    assert p.g.gap > 500.0
+        p.answer_counts(
+            p.request(plan="basic", spread=40, customer=f"a{i}")[1], outcome=io.Outcome.OVERLOADED
+        )
+    assert p.gateway.gap_ms > 500.0
     for i in range(10):
         p.now += 1000.0
-        p.counted(p.request(plan="basic", spread=40, customer=f"b{i}")[1], {})
-    assert p.g.gap < 20.0
+        p.answer_counts(p.request(plan="basic", spread=40, customer=f"b{i}")[1], {})
+    assert p.gateway.gap_ms < 20.0
 
 
 def test_a_counter_that_is_far_off_is_not_taken_for_a_crowded_one():
     p = thin()
     for i in range(50):
         p.now += 100.0
-        (call,) = of(p.request(plan="basic", spread=40, customer=f"a{i}")[1], io.Count)
-        p.put(io.CountResult(call.name, io.Outcome.OK, 1.0, 31.0 if i % 2 else 33.0))  # of 50 ms
-        assert p.g.gap == 0.0
-    (call,) = of(p.request(plan="basic", spread=40, customer="late")[1], io.Count)
-    p.put(io.CountResult(call.name, io.Outcome.OK, 1.0, 45.0))
-    assert p.g.gap > 0.0
+        (call,) = of_type(p.request(plan="basic", spread=40, customer=f"a{i}")[1], io.CounterAdd)
+        p.feed(io.CounterResult(call.name, io.Outcome.OK, 1.0, 31.0 if i % 2 else 33.0))  # of 50 ms
+        assert p.gateway.gap_ms == 0.0
+    (call,) = of_type(p.request(plan="basic", spread=40, customer="late")[1], io.CounterAdd)
+    p.feed(io.CounterResult(call.name, io.Outcome.OK, 1.0, 45.0))
+    assert p.gateway.gap_ms > 0.0
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -5,7 +5,7 @@
 import socket
 
 import pytest
-from helpers import Play, answers, of
+from helpers import GatewayHarness, final_answers, of_type
 from world import ENDS, Backend, Hold, World, request, run, until
 
 from cobaltline import interface as io
@@ -62,13 +62,17 @@
 
 
 def test_no_more_attempts_are_out_than_there_are_connections_and_the_rest_waits():
-    p = Play(backends=[f"b{i}" for i in range(8)], most_out=4.0)  # by the length of the list it would be 8
-    sent = [(name, of(actions, io.Send)) for name, actions in (p.request() for _ in range(6))]
+    # by the length of the list it would be 8
+    p = GatewayHarness(backends=[f"b{i}" for i in range(8)], most_out=4.0)
+    sent = [(name, of_type(actions, io.Send)) for name, actions in (p.request() for _ in range(6))]
     assert [len(sends) for _, sends in sent] == [1] * 4 + [0] * 2
-    assert not any(answers(p.all, name) for name, _ in sent)
+    assert not any(final_answers(p.actions, name) for name, _ in sent)
     for _ in range(40):  # answers that come soon let the limit grow
-        first = next(iter(p.g.flights.values()))[1]
-        assert len(of(p.ended(first.id, took=5.0), io.Send)) == 1 and p.g.out == 4
+        first = next(iter(p.gateway.in_flight.values()))[1]
+        assert (
+            len(of_type(p.end_attempt(first.id, elapsed_ms=5.0), io.Send)) == 1
+            and p.gateway.attempts_out == 4
+        )
         p.now += 5.0
         p.request()
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -37,7 +37,7 @@
 def test_a_list_is_read_and_what_is_malformed_in_it_passed_over():
     found = watching.listing(ODD)
     assert found.event == io.BackendsChanged(
-        io.ListKind.REMEMBERED,
+        io.ListKind.CACHED,
         7,
         (
             io.Backend("a", "z", "m", 3, io.BackendState.UP, 1.5, 99.0),
@@ -52,9 +52,9 @@
         first = {"generation": 6, "instances": [entry("d")]}
         told = heard(first, ODD)
         assert [found.event for found in told] == [
-            io.BackendsChanged(io.ListKind.CHANGES, 6, (io.Backend("d"),)),
+            io.BackendsChanged(io.ListKind.DELTA, 6, (io.Backend("d"),)),
             io.BackendsChanged(
-                io.ListKind.CHANGES,
+                io.ListKind.DELTA,
                 7,
                 (
                     io.Backend("a", "z", "m", 3, io.BackendState.UP, 1.5, 99.0),
@@ -98,7 +98,7 @@
         await until(lambda: len(watcher.told) == 1)
         agent.tell(agent.entry("a", 5))
         await until(lambda: len(watcher.told) == 2)
-        assert watcher.told[1].event.kind is io.ListKind.CHANGES
+        assert watcher.told[1].event.kind is io.ListKind.DELTA
         agent.writers[0].transport.abort()
         await until(lambda: len(agent.targets) == 2)
         assert agent.targets == ["/v1/servers?watch=1&after=40", "/v1/servers?watch=1&after=42"]
@@ -541,7 +541,7 @@
         reader.feed(json.dumps({**whole, "generation": 2}, indent=2).encode())
         while discovery._take(reader):
             pass
-        assert [found.event for found in told] == [io.BackendsChanged(io.ListKind.CHANGES, 2)]
+        assert [found.event for found in told] == [io.BackendsChanged(io.ListKind.DELTA, 2)]
         take(discovery, {**whole, "generation": 3, "instances": [*many(300)[:-1], entry("s299", weight=2.0)]})
         assert [each.id for found in told[1:] for each in found.event.backends] == ["s299"]
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -105,7 +105,7 @@
 class Seen(Checks):
     """A request whose attempts and answers a test tells."""
 
-    def __init__(self, repeat=io.Repeat.SAFE):
+    def __init__(self, repeat=io.Idempotency.SAFE):
         super().__init__()
         self.one = Asked("a", SimpleNamespace(deadline=1000.0), b"GET /\n", repeat, 0, 1, 0.0)
         self.sent(self.one)
@@ -120,7 +120,7 @@
 
 
 def test_each_rule_is_kept_by_what_is_right():
-    seen = Seen(io.Repeat.UNSAFE)
+    seen = Seen(io.Idempotency.UNSAFE)
     first = seen.tried(10.0)
     first.ran, first.over_at = False, 20.0
     seen.tried(30.0)
@@ -155,7 +155,7 @@
     ],
 )
 def test_each_rule_breaks(rule, events):
-    seen = Seen(io.Repeat.UNSAFE)
+    seen = Seen(io.Idempotency.UNSAFE)
     events(seen)
     assert seen.broken[rule] == 1
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,13 +3,13 @@
 import random
 
 import pytest
-from helpers import Play, of
+from helpers import GatewayHarness, of_type
 
-from cobaltline import brain
+from cobaltline import gateway
 from cobaltline import interface as io
 
 
-class Read(brain.Server):
+class Read(gateway.TrackedBackend):
     """Tells of each look at one."""
 
     looks = []
@@ -25,9 +25,9 @@
 
 def looks(count, *change):
     """How often any backend is looked at while one entry of so many changes."""
-    p = Play(entries(count))
+    p = GatewayHarness(entries(count))
     Read.looks.clear()
-    p.roster(*change, kind=io.ListKind.CHANGES)
+    p.update_backends(*change, kind=io.ListKind.DELTA)
     return len(Read.looks)
 
 
@@ -44,21 +44,21 @@
     ids=str,
 )
 def test_a_change_looks_at_as_many_backends_in_a_long_list_as_in_a_short_one(monkeypatch, change):
-    monkeypatch.setattr(brain, "Server", Read)
+    monkeypatch.setattr(gateway, "TrackedBackend", Read)
     assert 0 < looks(4000, change) <= looks(40, change) < 60
 
 
 def test_what_is_swept_looks_only_at_what_left(monkeypatch):
-    monkeypatch.setattr(brain, "Server", Read)
-    p = Play(entries(4000))
-    p.roster(io.Backend("b7", state=io.BackendState.REMOVED), kind=io.ListKind.CHANGES)
+    monkeypatch.setattr(gateway, "TrackedBackend", Read)
+    p = GatewayHarness(entries(4000))
+    p.update_backends(io.Backend("b7", state=io.BackendState.REMOVED), kind=io.ListKind.DELTA)
     Read.looks.clear()
-    p.advance(p.now + 2 * brain.IDLE_MS)
-    assert "b7" not in p.g.servers and len(p.g.servers) == 3999 and len(Read.looks) < 20
+    p.advance(p.now + 2 * gateway.IDLE_MS)
+    assert "b7" not in p.gateway.tracked and len(p.gateway.tracked) == 3999 and len(Read.looks) < 20
 
 
 def test_after_many_changes_the_fleet_is_as_one_that_was_told_the_outcome_alone():
-    rng, p, now = random.Random(3), Play(()), {}
+    rng, p, now = random.Random(3), GatewayHarness(()), {}
     for _ in range(600):
         entry = io.Backend(
             f"b{rng.randrange(40)}",
@@ -70,31 +70,35 @@
         )
         now[entry.id] = entry
         p.now += 100.0
-        p.roster(entry, kind=io.ListKind.CHANGES)
+        p.update_backends(entry, kind=io.ListKind.DELTA)
         up = {name: x for name, x in now.items() if x.state is io.BackendState.UP}
-        fleet = p.g.fleet
+        fleet = p.gateway.pool
         assert {x.id: (x.zone, x.cell, x.weight) for x in fleet.usable} == {
             name: (x.zone, x.cell, x.weight) for name, x in up.items()
         }
-        assert all(x.place == i and fleet.all[x.id] is x for i, x in enumerate(fleet.usable))
-        assert fleet.heaviest == max((x.weight for x in up.values()), default=1.0)
-        home = rng.choice(list(fleet.all.values()))
-        assert {x.id for x in fleet.scope("zone", home)} == {n for n, x in up.items() if x.zone == home.zone}
-        assert {x.id for x in fleet.scope("cell", home)} == {n for n, x in up.items() if x.cell == home.cell}
+        assert all(x.pool_index == i and fleet.by_id[x.id] is x for i, x in enumerate(fleet.usable))
+        assert fleet.max_weight == max((x.weight for x in up.values()), default=1.0)
+        home = rng.choice(list(fleet.by_id.values()))
+        assert {x.id for x in fleet.usable_in_same("zone", home)} == {
+            n for n, x in up.items() if x.zone == home.zone
+        }
+        assert {x.id for x in fleet.usable_in_same("cell", home)} == {
+            n for n, x in up.items() if x.cell == home.cell
+        }
 
 
 def test_a_whole_list_keeps_what_it_names_alone():
-    p = Play(("b1", "b2", "b3"))
-    p.roster("b2", "b4")
-    assert {x.id for x in p.g.usable} == {"b2", "b4"}
+    p = GatewayHarness(("b1", "b2", "b3"))
+    p.update_backends("b2", "b4")
+    assert {x.id for x in p.gateway.usable} == {"b2", "b4"}
 
 
 def test_a_first_list_in_parts_bounds_the_attempts_out_as_one_in_one_piece():
-    whole, parts = Play(entries(60)), Play(())
+    whole, parts = GatewayHarness(entries(60)), GatewayHarness(())
     for i in range(0, 60, 20):
-        parts.roster(*entries(60)[i : i + 20], kind=io.ListKind.CHANGES)
-    assert parts.g.limit == whole.g.limit == brain.FLEET_FIRST * 60 / 2
-    assert of(parts.request()[1], io.Send)
-    parts.g.limit = 5.0  # found out since
-    parts.roster(io.Backend("new"), kind=io.ListKind.CHANGES)
-    assert parts.g.limit == 5.0
+        parts.update_backends(*entries(60)[i : i + 20], kind=io.ListKind.DELTA)
+    assert parts.gateway.limit == whole.gateway.limit == gateway.INITIAL_SLOTS * 60 / 2
+    assert of_type(parts.request()[1], io.Send)
+    parts.gateway.limit = 5.0  # found out since
+    parts.update_backends(io.Backend("new"), kind=io.ListKind.DELTA)
+    assert parts.gateway.limit == 5.0
--- a/tests/test_fleet_clock_restarts.py
+++ b/tests/test_fleet_clock_restarts.py
@@ -11,9 +11,9 @@
 from statistics import median
 
 import pytest
-from fleet_clock_world import CLOSE_MS, World
+from fleet_clock_world import AGREEMENT_MS, ClockSimulation
 
-from cobaltline.fleet_time import short_way
+from cobaltline.fleet_time import wrap_difference_ms
 
 SLACK_MS = 150.0  # by which a limit is wider on sockets, of the protocol page
 STEPS_MS = (0.0, 0.0, 3_600_000.0, -3_600_000.0, 30_000.0, -7_000.0)
@@ -32,7 +32,7 @@
     before_ms = median(process.fleet_ahead_ms() for process in running) if world.now else None
     least_ms = most_ms = 0.0
     for _ in range(int(seconds * 1000.0 / SAMPLE_MS)):
-        world.play(SAMPLE_MS)
+        world.run(SAMPLE_MS)
         for n, process in enumerate(running):
             if world.now >= due[n]:
                 after_ms = random.uniform(*GAP_MS)
@@ -44,11 +44,11 @@
                 running[n] = world.start(random.choice(steps_ms), after_ms, machine=process.machine)
                 due[n] = world.now + random.uniform(*LIFE_MS)
         for process in running:
-            if process.clock.time.known:
+            if process.clock.time.is_known:
                 ahead_ms = process.fleet_ahead_ms()
                 before_ms = ahead_ms if before_ms is None else before_ms
-                least_ms = min(least_ms, short_way(ahead_ms - before_ms))
-                most_ms = max(most_ms, short_way(ahead_ms - before_ms))
+                least_ms = min(least_ms, wrap_difference_ms(ahead_ms - before_ms))
+                most_ms = max(most_ms, wrap_difference_ms(ahead_ms - before_ms))
     return least_ms, most_ms
 
 
@@ -63,8 +63,8 @@
     gateways, steps_ms, killed, seed
 ):
     random = Random(seed)
-    world = World([random.choice(steps_ms) for _ in range(gateways)], seed, together_ms=500.0)
-    world.play(SETTLED_MS)
+    world = ClockSimulation([random.choice(steps_ms) for _ in range(gateways)], seed, start_spread_ms=500.0)
+    world.run(SETTLED_MS)
     behind_ms, ahead_ms = restart_in_a_row(world, random, 60.0, steps_ms, killed)
     assert -SLACK_MS <= behind_ms and ahead_ms <= SLACK_MS
 
@@ -75,19 +75,19 @@
 def test_restarts_from_the_first_moment_on_bring_the_times_no_further_apart(gateways, steps_ms, seed):
     # Of a fleet that has just started, times may differ as much as those of any gateways that agree.
     random = Random(seed)
-    world = World([random.choice(steps_ms) for _ in range(gateways)], seed, together_ms=500.0)
+    world = ClockSimulation([random.choice(steps_ms) for _ in range(gateways)], seed, start_spread_ms=500.0)
     behind_ms, ahead_ms = restart_in_a_row(world, random, 60.0, steps_ms)
-    assert -CLOSE_MS <= behind_ms and ahead_ms <= CLOSE_MS
+    assert -AGREEMENT_MS <= behind_ms and ahead_ms <= AGREEMENT_MS
 
 
 def test_a_fleet_that_is_restarted_whole_takes_its_time_along():
-    world = World([0.0, 3_600_000.0, 30_000.0], together_ms=500.0)
-    world.play(SETTLED_MS)
+    world = ClockSimulation([0.0, 3_600_000.0, 30_000.0], start_spread_ms=500.0)
+    world.run(SETTLED_MS)
     before = world.processes[0].fleet_ahead_ms()
     for process in list(world.processes):
         world.terminate(process)
         world.later(200.0, world.kill, process)
         world.start(-7_000.0, 3000.0, machine=process.machine)
-    world.play(SETTLED_MS)
-    offs = [short_way(process.fleet_ahead_ms() - before) for process in world.processes[3:]]
+    world.run(SETTLED_MS)
+    offs = [wrap_difference_ms(process.fleet_ahead_ms() - before) for process in world.processes[3:]]
     assert max(map(abs, offs)) <= SLACK_MS
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -38,7 +38,7 @@
     def handle(self, now, event):
         if type(event) in self.broken:
             self.broken.clear()
-            self.acts = []
+            self.actions = []
             raise RuntimeError("a bug")
         return super().handle(now, event)
 host.Gateway = Failing
@@ -57,12 +57,12 @@
     """A module that notes how it is called."""
 
     def __init__(self, settings, seed):
-        self.events, self.inside, self.acts = [], False, []
+        self.events, self.inside, self.actions = [], False, []
 
     def handle(self, now, event):
         assert not self.inside
         self.events.append(event)
-        return [io.Count("a", 1.0, 1.0), io.Count("b", 1.0, 1.0)] if event == "first" else []
+        return [io.CounterAdd("a", 1.0, 1.0), io.CounterAdd("b", 1.0, 1.0)] if event == "first" else []
 
 
 def test_an_event_raised_by_an_action_waits_until_all_actions_are_carried_out(monkeypatch, tmp_path):
@@ -72,7 +72,7 @@
         config = loaded(tmp_path, told(settings=settings(familyInfo={"counter": False})))
         one = host.Host(config)  # with no counter, a call's result is there at once
         carried = []
-        count = one._do[io.Count]
+        count = one._do[io.CounterAdd]
 
         def counted(action):
             one._module.inside = True
@@ -80,11 +80,11 @@
             count(action)
             one._module.inside = False
 
-        one._do[io.Count] = counted
+        one._do[io.CounterAdd] = counted
         one.put("first")
         assert carried == ["a", "b"]
         failed = io.Outcome.CONNECT_FAILED
-        assert one._module.events == ["first", io.CountResult("a", failed), io.CountResult("b", failed)]
+        assert one._module.events == ["first", io.CounterResult("a", failed), io.CounterResult("b", failed)]
 
     run(scene)
 
@@ -165,8 +165,8 @@
         await call(request("pay", X_Timeout="0.2"))
         await until(lambda: not one._requests and not one.clients._open)
         module = one._module
-        assert not one._names and not module.requests and not module.flights and not module.calls
-        assert one._module.out == 0 and not one._events
+        assert not one._names and not module.requests and not module.in_flight and not module.calls
+        assert one._module.attempts_out == 0 and not one._events
         one.clients.stop_listening()
 
     run(scene)
@@ -300,7 +300,7 @@
             await until(lambda: w.host._last > before and not w.host._requests)
             await asyncio.sleep(0.1)
             assert w.seen().count(named("left")) == (when == "between two attempts")
-            assert w.host._module.out == 0 and not w.host._names
+            assert w.host._module.attempts_out == 0 and not w.host._names
 
     run(scene)
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-BRAIN = ROOT / "cobaltline" / "brain.py"
+BRAIN = ROOT / "cobaltline" / "gateway.py"
 NO_DECISIONS = {"cobaltline/__init__.py", "cobaltline/adapter.py", "cobaltline/interface.py"}
 
 
@@ -22,7 +22,7 @@
     assert modules - set(policy) == NO_DECISIONS
     for path in policy:
         lines = (ROOT / path).read_text(encoding="utf-8").splitlines()
-        assert sum(1 for line in lines if line.strip()) <= (800 if path == "cobaltline/brain.py" else 300), (
-            path
-        )
+        assert sum(1 for line in lines if line.strip()) <= (
+            800 if path == "cobaltline/gateway.py" else 300
+        ), path
         assert max(len(line) for line in lines) <= 110, path
--- a/tests/test_many_backends.py
+++ b/tests/test_many_backends.py
@@ -5,7 +5,7 @@
 from helpers import settings
 
 from cobaltline import interface as io
-from cobaltline.brain import Gateway
+from cobaltline.gateway import Gateway
 
 GATEWAYS, REQUESTS_PER_S, SECONDS = 200, 61.0, 30.0
 TOOK_MS = 20.0  # of an answer
@@ -23,7 +23,7 @@
         self.gateway = Gateway(settings(gateways=GATEWAYS, counter=False), seed=1)
         self.made, self.sent, self.idle, self.out = 0, 0, {}, []
         entries = tuple(io.Backend(f"b{i}", zone="z1") for i in range(backends))
-        self.put(0.0, io.BackendsChanged(io.ListKind.REMEMBERED, 1, entries))
+        self.put(0.0, io.BackendsChanged(io.ListKind.CACHED, 1, entries))
 
     def put(self, now, event):
         for send in (a for a in self.gateway.handle(now, event) if isinstance(a, io.Send)):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -16,7 +16,7 @@
     return SimpleNamespace(
         peers=((HOST, own), *(("127.0.0.1", port) for port in others)),
         peers_all=("127.0.0.1", everybody) if everybody else None,
-        settings=io.Settings(me=0),
+        settings=io.Settings(node_id=0),
     )
 
 
@@ -57,16 +57,16 @@
 
         peers = Peers(config(own, [first, second]), lambda message: None)
         transport, _ = await endpoint(peers, own)
-        peers.tell(io.Tell(b"x" * 257))
-        peers.tell(io.Tell(b"two", 2))
+        peers.tell(io.SendPeerMessage(b"x" * 257))
+        peers.tell(io.SendPeerMessage(b"two", 2))
         assert await got(sockets[1]) == b"two"
-        peers.tell(io.Tell(b"each"))
+        peers.tell(io.SendPeerMessage(b"each"))
         assert [await got(one) for one in sockets[:2]] == [b"each"] * 2
         transport.close()
         own = free_port(DATAGRAM)
         peers = Peers(config(own, [first, second], everybody), lambda message: None)
         transport, _ = await endpoint(peers, own)
-        peers.tell(io.Tell(b"all"))
+        peers.tell(io.SendPeerMessage(b"all"))
         assert await got(sockets[2]) == b"all"
         transport.close()
         for one in sockets:
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -45,7 +45,7 @@
 
 
 def test_a_try_is_beyond_the_quota_with_as_many_attempts_out_as_the_plan_allows():
-    account = Account(io.Plan("p", rate=2.0, burst=6.0, open_limit=2), 0.0)
+    account = Account(io.Plan("p", rate=2.0, burst=6.0, max_concurrency=2), 0.0)
     account.out = 2
     assert not account.sent(0.0, 1.0) and account.room(0.0, 1.0) == (False, False)
     account.out = 1
@@ -53,7 +53,7 @@
 
 
 def test_each_first_try_draws_on_the_ceiling_whether_it_is_inside_the_quota_or_not():
-    plan = io.Plan("p", rate=1.0, burst=4.0, ceiling_rate=2.0, ceiling_burst=8.0, ceiling_slack=3.0)
+    plan = io.Plan("p", rate=1.0, burst=4.0, ceiling_rate=2.0, ceiling_burst=8.0, ceiling_tolerance=3.0)
     account = Account(plan, 0.0)
     assert [account.over_ceiling(0.0, units) for units in (8.0, 3.0, 1.0)] == [False, False, True]
     assert not account.over_ceiling(1000.0, 1.0)
--- a/tests/test_scale_standins.py
+++ b/tests/test_scale_standins.py
@@ -16,13 +16,13 @@
     clock, links, got = Clock(0.0), Links(1, 1), []
     counter = Counter(clock, links, links.zones[0], parts=1, per_s=25.0, wait_ms=50.0)  # 40 ms a call
     for _ in range(4):
-        counter.call(links.zones[0], io.Count("n", 1.0, 9000.0), "p", got.append)
+        counter.call(links.zones[0], io.CounterAdd("n", 1.0, 9000.0), "p", got.append)
     clock.run(1000.0)
-    counter.call(links.zones[0], io.Count("n", 0.0, 9000.0), "p", got.append)
+    counter.call(links.zones[0], io.CounterAdd("n", 0.0, 9000.0), "p", got.append)
     clock.run(2000.0)
     # Done after 40 and 80 ms: the second comes too late, and the others find a line of 80 ms, over 75.
     ends = {outcome: [r for r in got if r.outcome is outcome] for outcome in io.Outcome}
-    assert [len(ends[x]) for x in (io.Outcome.OK, io.Outcome.TIMEOUT, io.Outcome.FULL)] == [2, 1, 2]
+    assert [len(ends[x]) for x in (io.Outcome.OK, io.Outcome.TIMEOUT, io.Outcome.OVERLOADED)] == [2, 1, 2]
     assert got[-1].total == 2.0 and got[-1].elapsed_ms == pytest.approx(40.0 + 2.0 * SAME_MS)
     assert counter.unanswered == 3
 
@@ -65,8 +65,8 @@
         discovery.change([io.Backend("a", weight=2.0)])
     clock.run(10_000.0)
     assert gateway.got == [
-        (io.ListKind.REMEMBERED, 1, 2),
-        *((io.ListKind.CHANGES, version, 1) for version in range(2, 7)),
+        (io.ListKind.CACHED, 1, 2),
+        *((io.ListKind.DELTA, version, 1) for version in range(2, 7)),
     ]
     links.part(links.region(1))
     discovery.change([io.Backend("c")])
@@ -74,4 +74,4 @@
     links.heal()
     discovery.catch_up()
     clock.run(30_000.0)
-    assert gateway.got[6:] == [(io.ListKind.WHOLE, 7, 3)]
+    assert gateway.got[6:] == [(io.ListKind.COMPLETE, 7, 3)]
--- a/tests/test_window_opening.py
+++ b/tests/test_window_opening.py
@@ -8,8 +8,8 @@
 from helpers import settings
 
 from cobaltline import interface as io
-from cobaltline.brain import Gateway
 from cobaltline.fleet_time import WINDOW_MS
+from cobaltline.gateway import Gateway
 
 WAY_MS = (0.2, 2.0)  # of a call to the counter, each way
 BEFORE_MS, AFTER_MS = 8000.0, 4000.0  # of load around the window's end
@@ -34,9 +34,9 @@
     def __init__(self, seed, at):
         self.now, self.todo, self.seq, self.rng, self.totals = at, [], 0, Random(seed), {}
         self.sent = []
-        self.gateways = [Gateway(settings(me=n), seed * 10 + n) for n in range(2)]
+        self.gateways = [Gateway(settings(node_id=n), seed * 10 + n) for n in range(2)]
         for n in range(2):
-            self.put(n, io.BackendsChanged(io.ListKind.REMEMBERED, 1, (io.Backend("b1", zone="z1"),)))
+            self.put(n, io.BackendsChanged(io.ListKind.CACHED, 1, (io.Backend("b1", zone="z1"),)))
 
     def later(self, ms, what, *args):
         self.seq += 1
@@ -50,14 +50,14 @@
                 self.sent.append(self.now)
                 ended = io.AttemptEnded(action.request, 0, action.backend, io.Outcome.OK, True, 1.0)
                 self.later(1.0, self.put, n, ended)
-            elif isinstance(action, io.Count):
+            elif isinstance(action, io.CounterAdd):
                 self.later(self.rng.uniform(*WAY_MS), self.add, n, action, self.now)
 
     def add(self, n, call, at):
         total = self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount
         back_ms = self.rng.uniform(*WAY_MS)
         took_ms = self.now + back_ms - at
-        self.later(back_ms, self.put, n, io.CountResult(call.name, io.Outcome.OK, total, took_ms))
+        self.later(back_ms, self.put, n, io.CounterResult(call.name, io.Outcome.OK, total, took_ms))
 
     def ask(self, n, plan, number):
         event = io.RequestArrived(f"r{n}-{number}", "c", plan, "read", self.now + 4000.0, spread=2)
