--- a/elderhub/arrival.py
+++ b/elderhub/arrival.py
@@ -14,7 +14,7 @@
 AT_ONCE_MS = 20.0  # what is read so soon after its connection was taken in may have come before
 
 
-class Arrivals:
+class ArrivalEstimator:
     """Tells since when what is being read now may have been there. Times are in ms of `now`."""
 
     def __init__(self, system: System, now: Callable[[], float]):
@@ -35,20 +35,22 @@
     def _held_up(self, now: float) -> bool:
         return now - self._looked_at > LOOK_S * 1000.0 + HELD_UP_MS
 
-    def no_room(self) -> None:
+    def on_accept_paused(self) -> None:
         """No connection is taken in from here on."""
         if self._closed_since is None:
             self._closed_since = self._now()
 
-    def all_taken_in(self) -> None:
+    def on_backlog_drained(self) -> None:
         """None waits any more."""
         self._closed_since = None
 
-    def waiting_since(self) -> float | None:
+    def backlogged_since_ms(self) -> float | None:
         """Since when a connection that is taken in now may have waited; none where it has not."""
         return self._closed_since
 
-    def came_at(self, sock: socket.socket, taken_in_at: float, waited_since: float | None) -> float:
+    def earliest_arrival_ms(
+        self, sock: socket.socket, taken_in_at: float, waited_since: float | None
+    ) -> float:
         """When what was read last may have come, at the earliest. The system may know it better."""
         now = self._now()
         since = self._looked_at if self._held_up(now) else self._held_up_since
--- a/elderhub/backends.py
+++ b/elderhub/backends.py
@@ -13,75 +13,81 @@
 from cobaltline import interface as io
 
 from .discovery import Listing
-from .system import REAL, System
-from .wire import HOP_BY_HOP, MOST_BYTES, Address
+from .system import REAL_SYSTEM, System
+from .wire import HOP_BY_HOP_HEADERS, MAX_MESSAGE_BYTES, Address
 
 log = logging.getLogger(__name__)
 
 IDLE_SHARE = 0.5  # of the backends' own idle limit, after which a connection is no longer used
-BACKEND_MOST = 64  # connections to one backend
+MAX_CONNECTIONS_PER_BACKEND = 64  # connections to one backend
 BODY_S = 0.5  # an answer whose body is not whole so long after its head is not waited for
-REST_S = 0.02  # a connection is used again after this: a second answer may come some milliseconds late
-SENT_MOST = 2 * MOST_BYTES  # bytes of one answer, with all that announces and frames it
-SWEEP_S = 1.0
-OWN_HEADERS = HOP_BY_HOP | {b"content-length", b"x-server-load", b"x-not-processed"}
+REUSE_DELAY_S = 0.02  # a connection is used again after this: a second answer may come some milliseconds late
+SENT_MOST = 2 * MAX_MESSAGE_BYTES  # bytes of one answer, with all that announces and frames it
+SWEEP_INTERVAL_S = 1.0
+OWN_HEADERS = HOP_BY_HOP_HEADERS | {b"content-length", b"x-server-load", b"x-not-processed"}
 
 
 class Exchange:
-    """One request to one backend. Ends exactly once, by a call of `done` with the exchange itself."""
+    """One request to one backend. Ends exactly once, by a call of `on_done` with the exchange itself."""
 
     __slots__ = (
         "backend",
         "head",
         "body",
-        "until",
-        "done",
+        "deadline_s",
+        "on_done",
         "connection",
-        "sent",
-        "over",
+        "is_sent",
+        "is_done",
         "outcome",
-        "headers",
-        "answer",
-        "report",
+        "response_headers",
+        "response_body",
+        "load_report",
         "timer",
         "request",
-        "number",
-        "started",
-        "wanted",
+        "attempt_number",
+        "started_ms",
+        "is_wanted",
     )
 
     def __init__(
-        self, backend: str, head: bytes, body: bytes, until: float, done: Callable[[Exchange], None]
+        self, backend: str, head: bytes, body: bytes, deadline_s: float, on_done: Callable[[Exchange], None]
     ):
-        self.backend, self.head, self.body, self.until, self.done = backend, head, body, until, done
+        self.backend, self.head, self.body, self.deadline_s, self.on_done = (
+            backend,
+            head,
+            body,
+            deadline_s,
+            on_done,
+        )
         self.connection: Connection | None = None  # once the request is being written
-        self.sent = False  # its last byte has left our buffer: from here on it may run
-        self.over, self.outcome = False, io.Outcome.TIMEOUT
-        self.headers, self.answer, self.report = b"", b"", None
+        self.is_sent = False  # its last byte has left our buffer: from here on it may run
+        self.is_done, self.outcome = False, io.Outcome.TIMEOUT
+        self.response_headers, self.response_body, self.load_report = b"", b"", None
         self.timer: asyncio.TimerHandle | None = None
-        self.wanted: Callable[[], bool] | None = None  # where it is not, its request withdraws it
+        self.is_wanted: Callable[[], bool] | None = None  # where it is not, its request withdraws it
 
     def end(self, outcome: io.Outcome) -> None:
-        if self.over:
+        if self.is_done:
             return
-        self.over, self.outcome = True, outcome
+        self.is_done, self.outcome = True, outcome
         if self.timer is not None:
             self.timer.cancel()
-        self.done(self)
+        self.on_done(self)
 
-    def drop(self, outcome: io.Outcome) -> None:
+    def abandon(self, outcome: io.Outcome) -> None:
         """Stop waiting. A connection that may still bring the answer is of no use to anybody else."""
-        if self.connection is not None and not self.over:
+        if self.connection is not None and not self.is_done:
             self.connection.abort()
         self.end(outcome)
 
-    def withdraw(self) -> None:
+    def withdraw_if_unsent(self) -> None:
         """Its request is over. What was not sent whole is no attempt yet, and does not become one."""
-        if not self.sent:
-            self.drop(io.Outcome.NOT_SENT)
+        if not self.is_sent:
+            self.abandon(io.Outcome.NOT_SENT)
 
-    def late(self) -> None:
-        self.drop(io.Outcome.TIMEOUT if self.sent else io.Outcome.CONNECT_FAILED)
+    def on_timeout(self) -> None:
+        self.abandon(io.Outcome.TIMEOUT if self.is_sent else io.Outcome.CONNECT_FAILED)
 
 
 class Connection(asyncio.Protocol):
@@ -115,17 +121,17 @@
         self._exchange, exchange.connection = exchange, self
         self._status, self._whole, self._headed, self._until_end = 0, False, False, False
         self._unread = 0
-        wait_s = max(0.001, exchange.until - self._pool.loop.time())
+        wait_s = max(0.001, exchange.deadline_s - self._pool.loop.time())
         head = exchange.head + b"X-Timeout: %.3f\r\n\r\n" % wait_s
         self._transport.write(head + exchange.body if exchange.body else head)
         if self._transport.is_closing():  # it failed at once; `connection_lost` is on its way
             return
         if self._transport.get_write_buffer_size() == 0:
-            exchange.sent = True
+            exchange.is_sent = True
 
     def resume_writing(self) -> None:
         if self._exchange is not None:
-            self._exchange.sent = True
+            self._exchange.is_sent = True
 
     def data_received(self, data: bytes) -> None:
         if self._exchange is None:  # nothing was asked: whatever this is, it answers no later request
@@ -141,7 +147,7 @@
             self._extra = True
         if self._whole:
             self._answered()
-        elif self._unread > (SENT_MOST if self._headed else MOST_BYTES):
+        elif self._unread > (SENT_MOST if self._headed else MAX_MESSAGE_BYTES):
             # a head or a trailer without end, which no callback tells of
             self._end(io.Outcome.UNUSABLE_RESPONSE)
         elif self._headed and self._stalled is None:
@@ -190,12 +196,12 @@
             # It lasts until the connection ends. Nobody is sent the body of one that is not served.
             self._until_end = self._status == 200
             self._whole, self._extra = not self._until_end, True
-        elif int(self._length) > MOST_BYTES:
+        elif int(self._length) > MAX_MESSAGE_BYTES:
             raise ValueError("the answer is too large")
 
     def on_body(self, body: bytes) -> None:
         self._size += len(body)
-        if self._size > MOST_BYTES:
+        if self._size > MAX_MESSAGE_BYTES:
             raise ValueError("the answer is too large")
         self._body.append(body)
 
@@ -205,13 +211,13 @@
 
     def _answered(self) -> None:
         exchange = self._exchange
-        exchange.headers, exchange.answer = b"".join(self._headers), b"".join(self._body)
-        exchange.report = b",".join(self._reports)
-        self._end(self._outcome(), exchange.sent and self._lasts and not self._extra)
+        exchange.response_headers, exchange.response_body = b"".join(self._headers), b"".join(self._body)
+        exchange.load_report = b",".join(self._reports)
+        self._end(self._outcome(), exchange.is_sent and self._lasts and not self._extra)
 
     def _outcome(self) -> io.Outcome:
         if self._status == 200:  # one that came before all was asked answers something else
-            return io.Outcome.OK if self._exchange.sent else io.Outcome.UNUSABLE_RESPONSE
+            return io.Outcome.OK if self._exchange.is_sent else io.Outcome.UNUSABLE_RESPONSE
         if self._status in (503, 504) and self._never_ran:
             return io.Outcome.OVERLOADED
         # Below 500 it speaks of the request, not of the backend.
@@ -244,7 +250,7 @@
         self._parser = None  # they hold each other
         exchange, self._exchange = self._exchange, None
         if exchange is not None:
-            exchange.end(io.Outcome.RESET if exchange.sent else io.Outcome.CONNECT_FAILED)
+            exchange.end(io.Outcome.RESET if exchange.is_sent else io.Outcome.CONNECT_FAILED)
 
     def abort(self) -> None:
         self._pool.drop(self)  # takes up no room, though the loop closes it only in its next turn
@@ -261,14 +267,15 @@
     def __init__(self, backends: Backends, where: Address):
         self.loop, self.poll, self._backends = backends.loop, backends.poll, backends
         self.where, self.closed = where, False
-        self.all: set[Connection] = set()
-        self.free: list[Connection] = []  # the latest used last
+        self.connections: set[Connection] = set()
+        self.idle_connections: list[Connection] = []  # the latest used last
         self.opening: dict[Exchange, asyncio.Task] = {}
 
     def send(self, exchange: Exchange) -> None:
-        connection = self._free(self.loop.time() - REST_S)
+        connection = self._free(self.loop.time() - REUSE_DELAY_S)
         if connection is None and (
-            len(self.all) + len(self.opening) >= BACKEND_MOST or not self._backends.room()
+            len(self.connections) + len(self.opening) >= MAX_CONNECTIONS_PER_BACKEND
+            or not self._backends.make_room()
         ):
             connection = self._free(float("inf"))
             if connection is None:
@@ -277,14 +284,14 @@
         if connection is not None:
             connection.start(exchange)
             return
-        self._backends.held[exchange] = self
+        self._backends.open_or_opening[exchange] = self
         self.opening[exchange] = self._backends.background(self._open(exchange))
 
     def _free(self, rested: float) -> Connection | None:
         """The latest used that has stood idle since then, as far as it can still be used: not where the
         backend may be about to close it, even if the sweep has not come by yet."""
-        stale = self.loop.time() - self._backends.idle_s
-        for connection in [x for x in reversed(self.free) if x.idle_since <= rested]:
+        stale = self.loop.time() - self._backends.max_idle_s
+        for connection in [x for x in reversed(self.idle_connections) if x.idle_since <= rested]:
             self._take(connection)
             if connection.idle_since > stale and connection.usable():
                 return connection
@@ -304,18 +311,18 @@
 
     def _end_opening(self, exchange: Exchange) -> None:
         self.opening.pop(exchange, None)
-        self._backends.held.pop(exchange, None)
+        self._backends.open_or_opening.pop(exchange, None)
 
     def opened(self, connection: Connection, exchange: Exchange) -> None:
         """Sends nothing for a request that is over by now, or where the backend drains."""
         self._end_opening(exchange)
-        self.all.add(connection)
-        self._backends.held[connection] = self
+        self.connections.add(connection)
+        self._backends.open_or_opening[connection] = self
         if self.closed:
             connection.abort()
-        elif exchange.over or exchange.wanted is not None and not exchange.wanted():
+        elif exchange.is_done or exchange.is_wanted is not None and not exchange.is_wanted():
             self.idle(connection)
-            connection.idle_since -= REST_S  # it has brought no answer yet that another could follow
+            connection.idle_since -= REUSE_DELAY_S  # it has brought no answer yet that another could follow
         else:
             connection.start(exchange)
 
@@ -324,20 +331,20 @@
             connection.abort()
             return
         connection.idle_since = self.loop.time()
-        self.free.append(connection)
-        self._backends.idle[connection] = self
+        self.idle_connections.append(connection)
+        self._backends.idle_by_age[connection] = self
 
     def _take(self, connection: Connection) -> None:
-        self.free.remove(connection)
-        del self._backends.idle[connection]
+        self.idle_connections.remove(connection)
+        del self._backends.idle_by_age[connection]
 
     def drop(self, connection: Connection) -> None:
-        self.all.discard(connection)
-        self._backends.held.pop(connection, None)
+        self.connections.discard(connection)
+        self._backends.open_or_opening.pop(connection, None)
 
     def lost(self, connection: Connection) -> None:
         self.drop(connection)
-        if connection in self.free:
+        if connection in self.idle_connections:
             self._take(connection)
 
     def retire(self, connection: Connection) -> None:
@@ -346,7 +353,7 @@
         connection.abort()
 
     def retire_all(self) -> None:
-        for connection in list(self.free):
+        for connection in list(self.idle_connections):
             self.retire(connection)
 
     def give_up(self, exchange: Exchange) -> None:
@@ -364,17 +371,17 @@
 
 
 class Backends:
-    def __init__(self, settings: io.Settings, keepalive_ms: float, most: int, system: System = REAL):
+    def __init__(self, settings: io.Settings, keepalive_ms: float, most: int, system: System = REAL_SYSTEM):
         self.loop, self.poll = asyncio.get_running_loop(), system.poll
         self.connect_s = settings.connect_timeout_ms / 1000.0
-        self.idle_s, self._most = keepalive_ms * IDLE_SHARE / 1000.0, most
+        self.max_idle_s, self._most = keepalive_ms * IDLE_SHARE / 1000.0, most
         self._places: dict[str, tuple[Address, float]] = {}  # that take new work: where, since when
         self._pools: dict[str, Pool] = {}  # of those that were sent anything lately
-        self._parting: set[Pool] = set()  # those that only finish what they have
+        self._draining_pools: set[Pool] = set()  # those that only finish what they have
         # Over all pools, as a request to one of many backends mostly needs a new connection: what takes up
         # room, open or coming up; and of that what stands idle, longest first.
-        self.held: dict[Connection | Exchange, Pool] = {}
-        self.idle: dict[Connection, Pool] = {}
+        self.open_or_opening: dict[Connection | Exchange, Pool] = {}
+        self.idle_by_age: dict[Connection, Pool] = {}
         self._tasks: set[asyncio.Task] = set()
         self._path = b"/load" if settings.load_report_fields else b"/healthz"
 
@@ -382,15 +389,15 @@
         self._sweep()
 
     def _sweep(self) -> None:
-        before = self.loop.time() - self.idle_s
+        before = self.loop.time() - self.max_idle_s
         for connection, pool in list(
-            itertools.takewhile(lambda entry: entry[0].idle_since <= before, self.idle.items())
+            itertools.takewhile(lambda entry: entry[0].idle_since <= before, self.idle_by_age.items())
         ):
             pool.retire(connection)
-        for name in [name for name, pool in self._pools.items() if not pool.all and not pool.opening]:
+        for name in [name for name, pool in self._pools.items() if not pool.connections and not pool.opening]:
             del self._pools[name]
-        self._parting = {pool for pool in self._parting if pool.all or pool.opening}
-        self.loop.call_later(SWEEP_S, self._sweep)
+        self._draining_pools = {pool for pool in self._draining_pools if pool.connections or pool.opening}
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def background(self, work) -> asyncio.Task:
         task = self.loop.create_task(work)
@@ -398,21 +405,21 @@
         task.add_done_callback(self._tasks.discard)
         return task
 
-    def room(self) -> bool:
+    def make_room(self) -> bool:
         """Whether one more connection may be opened; an idle one elsewhere gives way, or one for nobody."""
-        if len(self.held) < self._most:
+        if len(self.open_or_opening) < self._most:
             return True
-        if self.idle:
-            connection, pool = next(iter(self.idle.items()))
+        if self.idle_by_age:
+            connection, pool = next(iter(self.idle_by_age.items()))
             pool.retire(connection)
             return True
-        for held, pool in self.held.items():
-            if isinstance(held, Exchange) and held.over:
+        for held, pool in self.open_or_opening.items():
+            if isinstance(held, Exchange) and held.is_done:
                 pool.give_up(held)
                 return True
         return False
 
-    def listed(self, found: Listing) -> list[Pool]:
+    def apply_listing(self, found: Listing) -> list[Pool]:
         """Where backends listen, as discovery has it now. Those that are returned get nothing new: the caller
         closes them once the module knows, or it would try them again for what that ends."""
         parted = []
@@ -427,14 +434,14 @@
                 if up:
                     self._places[backend.id] = place
         parted = [pool for pool in parted if pool is not None]
-        self._parting.update(parted)
+        self._draining_pools.update(parted)
         return parted
 
     def _part(self, name: str) -> Pool | None:
         self._places.pop(name, None)
         return self._pools.pop(name, None)
 
-    def any_up(self) -> bool:
+    def has_backend(self) -> bool:
         return bool(self._places)
 
     def send(self, exchange: Exchange) -> None:
@@ -442,16 +449,16 @@
         if pool is None and exchange.backend in self._places:
             where, _ = self._places[exchange.backend]
             pool = self._pools[exchange.backend] = Pool(self, where)
-        wait_s = exchange.until - self.loop.time()
+        wait_s = exchange.deadline_s - self.loop.time()
         if pool is None or wait_s <= 0:
             exchange.end(io.Outcome.CONNECT_FAILED)
             return
-        exchange.timer = self.loop.call_later(wait_s, exchange.late)
+        exchange.timer = self.loop.call_later(wait_s, exchange.on_timeout)
         pool.send(exchange)
 
-    def probe(self, backend: str, done: Callable[[Exchange], None]) -> None:
+    def probe(self, backend: str, on_done: Callable[[Exchange], None]) -> None:
         head = b"GET %b HTTP/1.1\r\nHost: backend\r\n" % self._path
-        self.send(Exchange(backend, head, b"", self.loop.time() + self.connect_s, done))
+        self.send(Exchange(backend, head, b"", self.loop.time() + self.connect_s, on_done))
 
     def close_idle(self, backend: str) -> None:
         if backend in self._pools:
--- a/elderhub/clients.py
+++ b/elderhub/clients.py
@@ -15,25 +15,33 @@
 
 from cobaltline import interface as io
 
-from .arrival import Arrivals
-from .checks import LENGTH, NOT_PASSED_ON, ONCE, Message, RequestError, arrived
-from .system import REAL, System
-from .wire import MOST_BYTES, ThrottledLog
+from .arrival import ArrivalEstimator
+from .checks import (
+    CONTENT_LENGTH_HEADER,
+    SINGLE_VALUE_HEADERS,
+    UNFORWARDED_HEADERS,
+    HttpRequest,
+    RequestError,
+    parse_request,
+)
+from .system import REAL_SYSTEM, System
+from .wire import MAX_MESSAGE_BYTES, ThrottledLog
 
 log = logging.getLogger(__name__)
 throttled_log = ThrottledLog(log)
 
-BOUND_S = 2.0  # a first request has so long from connecting, a later one from its first byte
-IDLE_S = 2.0  # a connection that stood idle for less is not closed to make room
+REQUEST_READ_TIMEOUT_S = 2.0  # a first request has so long from connecting, a later one from its first byte
+EVICTABLE_IDLE_S = 2.0  # a connection that stood idle for less is not closed to make room
 LINGER_S = 1.0  # a connection closed by us is read for so long, or a reset could overtake our answer
-LINGER_MOST = 8 << 20  # bytes, and so much is read and dropped
-STUCK_S = 10.0  # a client that has not read its answer by then is cut off
-SWEEP_S = 0.2
+MAX_LINGER_BYTES = 8 << 20  # bytes, and so much is read and dropped
+STALLED_WRITE_TIMEOUT_S = 10.0  # a client that has not read its answer by then is cut off
+SWEEP_INTERVAL_S = 0.2
 ROOM_SHARE = 0.8  # of the connections allowed; above it those that matter least give way
-EASY_SHARE = 0.3  # and above this, those that stood idle for IDLE_S
-QUEUE_MOST = 32  # requests read ahead on one connection
-AHEAD_MOST = 2 * MOST_BYTES  # and bytes; reading goes on all the while, or a client's end would not be seen
-DRAIN_NEW_S = 0.3  # while draining, a new connection has so long to begin a request
+EASY_SHARE = 0.3  # and above this, those that stood idle for EVICTABLE_IDLE_S
+MAX_QUEUED_REQUESTS = 32  # requests read ahead on one connection
+# and bytes; reading goes on all the while, or a client's end would not be seen
+AHEAD_MOST = 2 * MAX_MESSAGE_BYTES
+DRAIN_FIRST_REQUEST_TIMEOUT_S = 0.3  # while draining, a new connection has so long to begin a request
 SPEAK_S = 0.02  # so long what is newly connected has to begin a request before it may have to give way
 ACCEPT_MOST = 16  # connections taken at once, before what they have to say is read
 ACCEPT_S = 0.005  # wait for room to take more
@@ -64,9 +72,9 @@
 class Taker(Protocol):
     """What the clients' side needs of the host."""
 
-    def now(self) -> float: ...
-    def take(self, client: Client, message: Message, event: io.RequestArrived) -> None: ...
-    def left(self, client: Client) -> None: ...
+    def now_ms(self) -> float: ...
+    def handle_request(self, client: Client, message: HttpRequest, event: io.RequestArrived) -> None: ...
+    def client_disconnected(self, client: Client) -> None: ...
 
 
 class Client(asyncio.Protocol):
@@ -74,20 +82,20 @@
 
     def __init__(self, clients: Clients, waited_since: float | None = None):
         self._clients = clients
-        self._taken_in_at = clients.host.now()
+        self._taken_in_at = clients.host.now_ms()
         self._waited_since = waited_since  # to be taken in, perhaps; until a request came
         self.transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self._reading: Message | None = None  # not yet whole
+        self._reading: HttpRequest | None = None  # not yet whole
         self._size = self._unread = 0  # of its head, then of its body; bytes since it began
         self._ahead = 0  # bytes read since requests began to queue
         self._in_head = False
         self._body: list[bytes] = []
-        self._queue: deque[Message | RequestError] = deque()
-        self._current: Message | None = None  # awaits its answer
+        self._queue: deque[HttpRequest | RequestError] = deque()
+        self._current: HttpRequest | None = None  # awaits its answer
         self._deaf = self._full = False  # reads no more; writes no more until there is room
         self._dropped = 0  # bytes read after the last answer
-        self.held = None  # the host's mark of what is being answered here
+        self.open_request = None  # the host's mark of what is being answered here
         self.spoke = self.ended = False  # a request has begun to come; the last answer is out
         self.asked = self.again = False  # for more than our health, and not in vain; and more than once
         self.since = 0.0  # when it connected, began a request, had its last answer, or stopped reading
@@ -111,10 +119,10 @@
     def _leave(self) -> None:
         self._deaf, self._current = True, None
         self._queue.clear()
-        if self.held is not None:
-            self._clients.host.left(self)
+        if self.open_request is not None:
+            self._clients.host.client_disconnected(self)
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether it has left, also where the loop has not read that yet: what came before, and timers, go
         first, and we may have stood still."""
         return self.transport.is_closing() or self._polled(select.POLLRDHUP)
@@ -124,7 +132,7 @@
     def data_received(self, data: bytes) -> None:
         if self._deaf:
             self._dropped += len(data)
-            if self._dropped > LINGER_MOST and not self.transport.is_closing():
+            if self._dropped > MAX_LINGER_BYTES and not self.transport.is_closing():
                 # With the last answer out, what more comes is left to wait for the end; before that, nobody
                 # would see the client leave.
                 (self.transport.pause_reading if self.ended else self.transport.abort)()
@@ -135,7 +143,7 @@
         self._ahead = self._ahead + len(data) if self._queue else 0
         try:
             self._parser.feed_data(data)
-            if self._reading is not None and self._unread > 2 * MOST_BYTES:
+            if self._reading is not None and self._unread > 2 * MAX_MESSAGE_BYTES:
                 raise RequestError(
                     431, "the request is too large"
                 )  # a line without end, which no callback tells of
@@ -160,11 +168,16 @@
         may have been held up."""
         age = now - self.since
         stuck = self._full or self.transport.is_closing()
-        if self.ended and age >= LINGER_S or stuck and age >= STUCK_S:
+        if self.ended and age >= LINGER_S or stuck and age >= STALLED_WRITE_TIMEOUT_S:
             self.transport.abort()
-        elif not self.spoke and age >= BOUND_S and not self.unread():
+        elif not self.spoke and age >= REQUEST_READ_TIMEOUT_S and not self.unread():
             self.transport.close()
-        elif self._reading is not None and not self._deaf and age >= BOUND_S and not self.unread():
+        elif (
+            self._reading is not None
+            and not self._deaf
+            and age >= REQUEST_READ_TIMEOUT_S
+            and not self.unread()
+        ):
             self._refuse_to_read(RequestError(408, "the request did not come whole"))
             self._next()
 
@@ -178,7 +191,7 @@
             return RANK_NEVER_ASKED if now - self.since >= SPEAK_S else None
         if self._reading is not None:
             return RANK_HALF_READ
-        return RANK_IDLE if now - self.since >= IDLE_S else None
+        return RANK_IDLE if now - self.since >= EVICTABLE_IDLE_S else None
 
     def turn_away(self) -> None:
         """Answer the request that is half read: there is no room for its connection."""
@@ -186,9 +199,9 @@
         self._next()
 
     def on_message_begin(self) -> None:
-        if len(self._queue) >= QUEUE_MOST or self._ahead > AHEAD_MOST:
+        if len(self._queue) >= MAX_QUEUED_REQUESTS or self._ahead > AHEAD_MOST:
             raise RequestError(429, "too many requests at once")
-        self._reading, self._body, self._size, self._in_head = Message(), [], 0, True
+        self._reading, self._body, self._size, self._in_head = HttpRequest(), [], 0, True
         self.spoke = True
 
     def on_url(self, url: bytes) -> None:
@@ -197,7 +210,7 @@
 
     def _grow(self, more: int, status: int) -> None:
         self._size += more
-        if self._size > MOST_BYTES:
+        if self._size > MAX_MESSAGE_BYTES:
             raise RequestError(status, "the request is too large")
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -205,15 +218,15 @@
             return  # a trailer: comes too late to count
         self._grow(len(name) + len(value), 431)
         message, low = self._reading, name.lower()
-        if low in ONCE and low in message.headers:
+        if low in SINGLE_VALUE_HEADERS and low in message.headers:
             raise RequestError(400, "a header is given twice")
         message.headers[low] = value
-        if low not in NOT_PASSED_ON:
-            message.passed_on.append(b"%b: %b\r\n" % (name, value))
+        if low not in UNFORWARDED_HEADERS:
+            message.forwarded_headers.append(b"%b: %b\r\n" % (name, value))
 
     def on_headers_complete(self) -> None:
         self._in_head, self._size = False, 0
-        if int(self._reading.headers.get(LENGTH, b"0")) > MOST_BYTES:
+        if int(self._reading.headers.get(CONTENT_LENGTH_HEADER, b"0")) > MAX_MESSAGE_BYTES:
             raise RequestError(413, "the request is too large")
         expected = self._reading.headers.get(b"expect", b"").lower() == b"100-continue"
         if expected and self._current is None and not self._queue:
@@ -227,7 +240,7 @@
         message = self._reading
         message.method, message.body = self._parser.get_method(), b"".join(self._body)
         message.keep_alive = self._parser.should_keep_alive()
-        message.came = self._clients.arrivals.came_at(
+        message.received_at_ms = self._clients.arrivals.earliest_arrival_ms(
             self.transport.get_extra_info("socket"), self._taken_in_at, self._waited_since
         )
         self._waited_since = None
@@ -241,9 +254,9 @@
         while self._current is None and self._queue and not self._full:
             item = self._queue.popleft()
             if isinstance(item, RequestError):
-                self._current = Message()
+                self._current = HttpRequest()
                 self._current.keep_alive = False
-                self.answer(item.status, item.why.encode() + b"\n")
+                self.respond(item.status, item.reason.encode() + b"\n")
             else:
                 self._current = item
                 self._clients.take(self, item)
@@ -260,7 +273,7 @@
         poll.register(self.transport.get_extra_info("socket").fileno(), events)
         return bool(poll.poll(0))
 
-    def answer(self, status: int, body: bytes = b"", headers: bytes = b"") -> None:
+    def respond(self, status: int, body: bytes = b"", headers: bytes = b"") -> None:
         """The one answer to the current request."""
         # While draining too, what was read behind this request is still answered.
         orderly = not self._deaf and not self._queue and self._reading is None
@@ -302,15 +315,15 @@
 class Clients:
     """All connections of clients: a bounded number, and few that stand idle where there are many."""
 
-    def __init__(self, host: Taker, settings: io.Settings, most: int, system: System = REAL):
+    def __init__(self, host: Taker, settings: io.Settings, most: int, system: System = REAL_SYSTEM):
         self.loop, self.host, self.system = asyncio.get_running_loop(), host, system
         self._settings, self._most = settings, most
         self._room, self._easy = int(most * ROOM_SHARE), int(most * EASY_SHARE)
-        self.arrivals = Arrivals(system, host.now)
+        self.arrivals = ArrivalEstimator(system, host.now_ms)
         self._open: dict[Client, None] = {}
         self._listening: socket.socket | None = None
         self._opening: set[asyncio.Task] = set()
-        self.draining = self.ready = self.over = False
+        self.draining = self.is_ready = self.is_stopped = False
 
     def listen(self, host: str, port: int) -> None:
         self.arrivals.start()
@@ -330,7 +343,7 @@
                 return
             try:
                 if not self._take_in():
-                    self.arrivals.all_taken_in()
+                    self.arrivals.on_backlog_drained()
                     return
             except OSError as error:  # the loop would try it again and again
                 throttled_log.warning("no connection can be taken: %s", error)
@@ -348,13 +361,13 @@
         except ConnectionError:  # it has gone again
             return True
         sock.setblocking(False)
-        task = self.loop.create_task(self._connected(sock, self.arrivals.waiting_since()))
+        task = self.loop.create_task(self._connected(sock, self.arrivals.backlogged_since_ms()))
         self._opening.add(task)
         task.add_done_callback(self._opening.discard)
         return True
 
     def _wait_for_room(self) -> None:
-        self.arrivals.no_room()
+        self.arrivals.on_accept_paused()
         self.loop.remove_reader(self._listening)
         self.loop.call_later(ACCEPT_S, self._listen)
 
@@ -408,31 +421,31 @@
         self._close(len(self._open) - self._easy, (RANK_IDLE,))
         if self.draining:
             self._close_idle()
-        self.loop.call_later(SWEEP_S, self._sweep)
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def closed(self, client: Client) -> None:
         self._open.pop(client, None)
 
-    def take(self, client: Client, message: Message) -> None:
+    def take(self, client: Client, message: HttpRequest) -> None:
         try:
             if message.path() == b"/healthz":
-                up = self.ready and not self.draining
-                client.answer(200 if up else 503, b"ok\n" if up else b"not ready\n")
+                up = self.is_ready and not self.draining
+                client.respond(200 if up else 503, b"ok\n" if up else b"not ready\n")
                 return
-            if self.over:
+            if self.is_stopped:
                 message.keep_alive = False
-                client.answer(503)
+                client.respond(503)
                 return
-            event = arrived(message, self._settings)
+            event = parse_request(message, self._settings)
             client.asked, client.again = True, client.asked
-            self.host.take(client, message, event)
+            self.host.handle_request(client, message, event)
         except RequestError as bad:
-            client.answer(bad.status, str(bad).encode() + b"\n")
+            client.respond(bad.status, str(bad).encode() + b"\n")
         except Exception:
             log.exception("a request could not be taken")
-            client.answer(500)
+            client.respond(500)
 
-    def drain(self) -> None:
+    def start_draining(self) -> None:
         """Connections end with their next answer, idle ones now; new ones still come."""
         self.draining = True
         self._close_idle()
@@ -449,10 +462,10 @@
 
     def _close_idle(self) -> None:
         """Neither what has a request on its way nor what has only just connected to send one."""
-        new = self.loop.time() - DRAIN_NEW_S
+        new = self.loop.time() - DRAIN_FIRST_REQUEST_TIMEOUT_S
         for client in list(self._open):
             if client.idle() and (client.spoke or client.since <= new) and not client.unread():
                 client.transport.close()
 
-    def any_open(self) -> bool:
+    def has_connections(self) -> bool:
         return bool(self._open or self._opening)
--- a/elderhub/config.py
+++ b/elderhub/config.py
@@ -11,12 +11,12 @@
 from cobaltline import interface as io
 from cobaltline.adapter import MalformedInput, parse_settings
 
-from .discovery import MALFORMED, Listing, listing
-from .wire import Address, address
+from .discovery import PARSE_ERRORS, Listing, parse_listing
+from .wire import Address, parse_address
 
 SOCKETS_LEAST = 64  # file descriptors: 24 are held at rest
 ADDRESS = "host:port, the port from 1 to 65535"  # what is allowed, in the words of an error
-UNREADABLE = (*MALFORMED, OverflowError)
+UNREADABLE = (*PARSE_ERRORS, OverflowError)
 
 
 class ConfigError(Exception):
@@ -52,7 +52,7 @@
     return path, raw
 
 
-def load(environ: Mapping[str, str]) -> Config:
+def load_config(environ: Mapping[str, str]) -> Config:
     path, raw = _read(environ)
     for key, variable in (("name", "NODE_NAME"), ("listen", "NODE_LISTEN"), ("discovery", "NODE_DISCOVERY")):
         if environ.get(variable):
@@ -63,7 +63,7 @@
         raise ConfigError(f"{path}: {error}") from None
 
 
-def reload(environ: Mapping[str, str], config: Config) -> tuple[Address, Address | None]:
+def reload_addresses(environ: Mapping[str, str], config: Config) -> tuple[Address, Address | None]:
     """Where discovery and the counter are by now. The file alone says: the variables are of the start."""
     path, raw = _read(environ)
     try:
@@ -82,7 +82,7 @@
 
 
 def _address(raw: dict, key: str) -> Address:
-    return _field(key, ADDRESS, address, raw.get(key))
+    return _field(key, ADDRESS, parse_address, raw.get(key))
 
 
 def _optional(raw: dict, key: str) -> Address | None:
@@ -103,7 +103,7 @@
     except MalformedInput as error:
         raise ConfigError(f"settings.{error}") from None
     listed = _field("peers", f"a list of {ADDRESS}", tuple, raw.get("peers") or ())
-    peers = tuple(_field(f"peers[{i}]", ADDRESS, address, peer) for i, peer in enumerate(listed))
+    peers = tuple(_field(f"peers[{i}]", ADDRESS, parse_address, peer) for i, peer in enumerate(listed))
     counter, peer_listen, peers_all = (_optional(raw, key) for key in ("counter", "peer_listen", "peers_all"))
     if settings.counter and counter is None:
         raise ConfigError(
@@ -141,4 +141,4 @@
     """The list as it was last had. Entries that can't be read are passed over, as in any list."""
     _field("known.generation", "a whole number", int, raw.get("generation") or 0)
     _field("known.instances", "a list of objects", iter, raw.get("instances") or ())
-    return listing(raw)
+    return parse_listing(raw)
--- a/elderhub/counter.py
+++ b/elderhub/counter.py
@@ -10,18 +10,18 @@
 
 from cobaltline import interface as io
 
-from .wire import Address, ThrottledLog, number
+from .wire import Address, ThrottledLog, parse_number
 
 log = logging.getLogger(__name__)
 throttled_log = ThrottledLog(log)
 
-LINKS = 4  # connections; a name keeps to one, as answers for a name come in the order of its calls
-BACKOFF_S = 0.05  # wait before a connection that failed is tried again; doubles from there
+CONNECTION_COUNT = 4  # connections; a name keeps to one, as answers for a name come in the order of its calls
+RECONNECT_DELAY_S = 0.05  # wait before a connection that failed is tried again; doubles from there
 BACKOFF_MOST_S = 0.5
 CONNECT_S = 0.5  # a connection that is not up by then never comes up
-DEAD_S = 1.0  # calls are answered or turned away far sooner: a link silent for so long is cut off
-QUIET_S = 2.0  # the counter closes what stands idle for some seconds: a ping before that keeps it
-TICK_S = 0.5
+SILENCE_TIMEOUT_S = 1.0  # calls are answered or turned away far sooner: a link silent for so long is cut off
+PING_AFTER_S = 2.0  # the counter closes what stands idle for some seconds: a ping before that keeps it
+TICK_INTERVAL_S = 0.5
 LATE_S = 0.003  # a time-out noticed later than this shows that the gateway itself stood still
 LINE_MOST = 256
 TOTAL_MOST = 1e15
@@ -41,13 +41,13 @@
 class Link(asyncio.Protocol):
     """One connection to the counter, made anew whenever it ends, until it is retired."""
 
-    def __init__(self, counter: Counter, where: Address):
+    def __init__(self, counter: CounterClient, where: Address):
         self._counter, self._where, self._loop = counter, where, asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None  # only while calls can be written
         self._unsent: deque[Call] = deque()
         self._sent: deque[Call] = deque()  # written, not answered, in order
         self._paused, self._rest, self._quiet_since = False, b"", 0.0
-        self._wait, self._opening = BACKOFF_S, False
+        self._wait, self._opening = RECONNECT_DELAY_S, False
         self._heard = False  # on this connection
         self.up_once = self.retired = False
 
@@ -132,7 +132,7 @@
             self._write(self._unsent.popleft())
 
     def data_received(self, data: bytes) -> None:
-        self._wait, self._heard, self.up_once = BACKOFF_S, True, True
+        self._wait, self._heard, self.up_once = RECONNECT_DELAY_S, True, True
         *lines, self._rest = (self._rest + data).split(b"\n")
         for line in lines:
             if not self._answered(line.strip()):
@@ -151,7 +151,7 @@
         if not self._sent:
             return False
         call, (word, _, rest) = self._sent.popleft(), line.partition(b" ")
-        total = number(rest, -TOTAL_MOST, TOTAL_MOST)
+        total = parse_number(rest, -TOTAL_MOST, TOTAL_MOST)
         if word == b"ok" and total is not None and call.name:
             self._counter.end(call, io.Outcome.OK, total)
         elif word == b"busy":
@@ -181,27 +181,28 @@
         if self._transport is None or self._transport.is_closing():
             return
         now = self._loop.time()
-        if self._sent and now - self._sent[0].asked > DEAD_S:
+        if self._sent and now - self._sent[0].asked > SILENCE_TIMEOUT_S:
             # Cut off: the connection would stay open and silent for ever.
             self._transport.abort()
-        elif not self._sent and not self._paused and now - self._quiet_since > QUIET_S:
+        elif not self._sent and not self._paused and now - self._quiet_since > PING_AFTER_S:
             self._write(Call("", b"ping\r\n", now))
 
 
-class Counter:
+class CounterClient:
     def __init__(self, where: Address, wait_ms: float, done: Callable[[io.CounterResult], None]):
         self._where, self._wait_s, self._done = where, wait_ms / 1000.0, done
         self._loop = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task] = set()
-        self._links = [Link(self, where) for _ in range(LINKS)]
-        self._next: list[Link | None] = [None] * LINKS  # at a new place, each to take over from its link
+        self._links = [Link(self, where) for _ in range(CONNECTION_COUNT)]
+        # at a new place, each to take over from its link
+        self._next: list[Link | None] = [None] * CONNECTION_COUNT
 
     def start(self) -> None:
         for link in self._links:
             link.open()
         self._tick()
 
-    def move(self, where: Address) -> None:
+    def set_address(self, where: Address) -> None:
         """The counter is elsewhere now. Links there are opened at once; each takes over from the old one when
         it is up and all calls there have ended: answers for a name come in the order of its calls."""
         if where == self._where:
@@ -222,19 +223,19 @@
         return self._links[i]
 
     def _tick(self) -> None:
-        for i in range(LINKS):
+        for i in range(CONNECTION_COUNT):
             self._link(i).tick()
-        self._loop.call_later(TICK_S, self._tick)
+        self._loop.call_later(TICK_INTERVAL_S, self._tick)
 
     def background(self, work) -> None:
         task = self._loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def count(self, action: io.CounterAdd) -> None:
+    def add(self, action: io.CounterAdd) -> None:
         line = f"add {action.name} {action.amount:.7g} {max(1, round(action.ttl_ms))}\r\n".encode()
         call = Call(action.name, line, self._loop.time())
-        link = self._link(zlib.crc32(action.name.encode()) % LINKS)
+        link = self._link(zlib.crc32(action.name.encode()) % CONNECTION_COUNT)
         call.timer = self._loop.call_later(self._wait_s, self._late, call, link)
         link.add(call)
 
--- a/elderhub/discovery.py
+++ b/elderhub/discovery.py
@@ -15,29 +15,34 @@
 
 from cobaltline import interface as io
 
-from .lists import ENTRIES_MOST, Part, Reader
-from .wire import Address, ThrottledLog, address
+from .lists import MAX_ENTRIES, ListPart, ListReader
+from .wire import Address, ThrottledLog, parse_address
 
 log = logging.getLogger(__name__)
 throttled_log = ThrottledLog(log)
 
-SILENT_S = 3.0  # a watch says something every 2 s; what a silent one misses counts as told after 6 s
+# a watch says something every 2 s; what a silent one misses counts as told after 6 s
+WATCH_SILENCE_TIMEOUT_S = 3.0
 ANSWER_S = 1.0  # a new watch says something at once, as the agent is near; a silent agent is asked again
-WAIT_S = 3.5  # but where calls wait their turn at a service that all gateways share, after this
+# but where calls wait their turn at a service that all gateways share, after this
+SHARED_ANSWER_TIMEOUT_S = 3.5
 LATE_MOST = 3  # calls there that may yet be answered, beside the last one
 LOOK_S = 0.001  # timers go before what has come meanwhile: so long for that to be read
 CONNECT_S = 1.0  # the agent is near: a connection that is not up by then never comes up
 BACKOFF_S = 0.1  # wait before a new try: what the agent has counts as told, so it is soon asked again
 CALM_SHARE = 0.25  # of the time between calls that the settings name: the first wait where calls are a load
 CALM_MOST_S = 2.5  # and at most this
-NEXT_S = 4.5  # from a watch's last word, or a call without one, to the next call: a change counts after 6 s
-LEAVING_MOST = 4096  # backends that are kept in mind as leaving; as many as are known, if that is more
-SLICE = 8  # entries taken in at once, about 0.1 ms of work: a request needs some turns of the loop
-NAMES_SLICE = 64  # backends of which it is looked up at once whether a whole list named them
-KNOWN_MOST = 2 * ENTRIES_MOST  # backends: what a list names, and what it is about to leave out
-MALFORMED = (ValueError, TypeError, KeyError, AttributeError)
-
-STATES = {
+# from a watch's last word, or a call without one, to the next call: a change counts after 6 s
+MAX_RECONNECT_GAP_S = 4.5
+# backends that are kept in mind as leaving; as many as are known, if that is more
+MAX_LEAVING_BACKENDS = 4096
+# entries taken in at once, about 0.1 ms of work: a request needs some turns of the loop
+ENTRIES_PER_SLICE = 8
+NAMES_PER_SLICE = 64  # backends of which it is looked up at once whether a whole list named them
+MAX_KNOWN_BACKENDS = 2 * MAX_ENTRIES  # backends: what a list names, and what it is about to leave out
+PARSE_ERRORS = (ValueError, TypeError, KeyError, AttributeError)
+
+LIFECYCLE_STATES = {
     "Ready": io.BackendState.UP,
     "Terminating": io.BackendState.DRAINING,
     "Gone": io.BackendState.REMOVED,
@@ -52,8 +57,8 @@
     addresses: dict[str, Address]
 
 
-def listing(raw: dict) -> Listing:
-    """Discovery's form of a list, as remembered; raises one of MALFORMED where it is none."""
+def parse_listing(raw: dict) -> Listing:
+    """Discovery's form of a list, as remembered; raises one of PARSE_ERRORS where it is none."""
     found = [entry for entry in map(_entry, raw.get("instances") or ()) if entry is not None]
     addresses = {backend.id: where for backend, where in found if where is not None}
     version, backends = int(raw.get("generation") or 0), tuple(backend for backend, _ in found)
@@ -68,12 +73,12 @@
             zone=sys.intern(str(raw.get("zone", ""))),
             kind=sys.intern(str(raw.get("machineType", ""))),
             cell=int(raw.get("cell") or 0),
-            state=STATES[raw["lifecycle"]],
+            state=LIFECYCLE_STATES[raw["lifecycle"]],
             weight=float(raw.get("weight", 1.0)),
             started_ms=float(raw.get("startedAtMs") or 0.0),
         )
-        return backend, None if backend.state is io.BackendState.REMOVED else address(raw["hostPort"])
-    except MALFORMED as error:  # one bad entry must not hide the others
+        return backend, None if backend.state is io.BackendState.REMOVED else parse_address(raw["hostPort"])
+    except PARSE_ERRORS as error:  # one bad entry must not hide the others
         throttled_log.warning("discovery: %.200r is passed over: %r", raw, error)
         return None
 
@@ -82,10 +87,10 @@
     """One watch, until its connection ends and what came over it is taken in. `take` does a slice of that;
     what is left is done after all else that waits, and until then nothing more is read."""
 
-    def __init__(self, target: str, host: str, take: Callable[[Reader], bool]):
+    def __init__(self, target: str, host: str, take: Callable[[ListReader], bool]):
         self._loop = asyncio.get_running_loop()
         self._request = f"GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode()
-        self._take, self._reader = take, Reader()
+        self._take, self._reader = take, ListReader()
         self._busy = self._complete = self._lost = self._over = False
         self._parser = httptools.HttpResponseParser(self)
         self.ended = self._loop.create_future()
@@ -109,7 +114,7 @@
             throttled_log.warning("discovery: %r", error.__context__ or error)
             self.stop()
             return
-        if self._blank and self._reader.inside:
+        if self._blank and self._reader.in_object:
             self.heard_at = spoke_at  # white space does not bring an object to its end
         if not self._busy:
             self._work()
@@ -166,9 +171,10 @@
     async def fallen_silent(self, answer_s: float) -> None:
         """Until it has ended, or said nothing for so long that it is taken for dead."""
         while not self.ended.done():
-            left_s = self.heard_at + (SILENT_S if self.spoke else answer_s) - self._loop.time()
+            left_s = self.heard_at + (WATCH_SILENCE_TIMEOUT_S if self.spoke else answer_s) - self._loop.time()
             if left_s > 0.0:
-                await asyncio.wait([self.ended], timeout=min(left_s, SILENT_S))  # it may speak meanwhile
+                # it may speak meanwhile
+                await asyncio.wait([self.ended], timeout=min(left_s, WATCH_SILENCE_TIMEOUT_S))
                 continue
             heard_at = self.heard_at
             await asyncio.sleep(LOOK_S)  # we may have stood still ourselves
@@ -183,12 +189,12 @@
         self.version: int | None = None
         self.stale: bool | None = None  # older than one before
         # Of text and nothing else, so that the collector passes it over; a set it would go through.
-        self.named: dict[str, None] = {}
+        self.listed_ids: dict[str, None] = {}
         self.held: list[tuple[io.Backend, Address | None]] = []  # until it shows whether it is stale
         self.unnamed: Iterator[str] | None = None  # after the end of a whole list: what it may have left out
 
 
-class Discovery:
+class DiscoveryClient:
     """Keeps a watch open; tells `told` what each list changes, in parts. The last part may hold nothing."""
 
     def __init__(
@@ -210,11 +216,11 @@
         self._newest = version  # of all places so far
         self._known: dict[str, tuple[io.Backend, Address]] = {}  # those not gone, as last told
         self._leaving: dict[str, float] = {}  # or left out of a whole list; with their start
-        self._taken = Taken()
+        self._current_list = Taken()
         self._task: asyncio.Task | None = None
-        self.first = asyncio.Event()  # set with the first list that is not merely remembered
+        self.first_list_received = asyncio.Event()  # set with the first list that is not merely remembered
 
-    def remember(self, found: Listing) -> None:
+    def set_known_backends(self, found: Listing) -> None:
         """What is known before the first watch."""
         self._known = {
             backend.id: (backend, found.addresses[backend.id])
@@ -235,14 +241,14 @@
         while self._late:
             self._late.pop().stop()
 
-    def restart(self, whole: bool = False) -> None:
+    def restart(self, full: bool = False) -> None:
         """Watch anew, from the whole list if that is wanted."""
-        if whole:
+        if full:
             self._version = 0
         if self._watch is not None and self._watch.transport is not None:
             self._watch.stop()
 
-    def move(self, where: Address) -> None:
+    def set_address(self, where: Address) -> None:
         """Watch there, at once, and from the whole list: versions of the old place may mean nothing there."""
         if where != self._where:
             self.stop()
@@ -254,9 +260,9 @@
             before = self._lists
             await self._watched()
             silent_s = asyncio.get_running_loop().time() - self._watch.heard_at
-            await asyncio.sleep(self._pause(self._lists > before, silent_s))
+            await asyncio.sleep(self._retry_delay_s(self._lists > before, silent_s))
 
-    def _pause(self, heard: bool, silent_s: float) -> float:
+    def _retry_delay_s(self, heard: bool, silent_s: float) -> float:
         """The wait before the next watch, in s; `heard`: the last one brought a list; `silent_s`: since its
         last word, or its call. Drawn at random where all gateways share the service: many watches end at
         one moment, and would all be back at one."""
@@ -264,7 +270,7 @@
             return BACKOFF_S
         least = min(CALM_MOST_S, self._ask_every_s * CALM_SHARE)
         self._wait = least if heard else min(self._ask_every_s, self._wait * 2 or least)
-        return min(self._wait, max(0.0, NEXT_S - silent_s)) * self._draw()
+        return min(self._wait, max(0.0, MAX_RECONNECT_GAP_S - silent_s)) * self._draw()
 
     async def _watched(self) -> None:
         """One watch from its start to its end, or another that was given up before and speaks first."""
@@ -274,7 +280,7 @@
             watch = None
             while watch is not self._watch:
                 watch = self._watch
-                await watch.fallen_silent(WAIT_S if self._ask_every_s > 0.0 else ANSWER_S)
+                await watch.fallen_silent(SHARED_ANSWER_TIMEOUT_S if self._ask_every_s > 0.0 else ANSWER_S)
             self._put_off(watch)
         except asyncio.CancelledError:  # what an old place still says is not heard
             self._watch.stop()
@@ -288,7 +294,7 @@
         target = "/v1/servers?watch=1" + (f"&after={self._version}" if self._version else "")
         host = f"{self._where[0]}:{self._where[1]}"
         loop = asyncio.get_running_loop()
-        self._taken = Taken()  # a list that broke off leaves out nothing; what it said stands
+        self._current_list = Taken()  # a list that broke off leaves out nothing; what it said stands
         if self._watch is not None and self._watch.spoke:
             self._heard_at = self._watch.heard_at
         self._silent_since = self._heard_at
@@ -309,7 +315,7 @@
         if len(self._late) > LATE_MOST:
             self._late.popleft().stop()
 
-    def _take_from(self, watch: Watch, reader: Reader) -> bool:
+    def _take_from(self, watch: Watch, reader: ListReader) -> bool:
         """What a watch says. The first one to speak is the one that counts; the others end."""
         if watch in self._late:
             self._late.remove(watch)
@@ -318,22 +324,22 @@
                 before.stop()
         while self._late:
             self._late.pop().stop()
-        return self._take(reader)
+        return self._take_slice(reader)
 
-    def _take(self, reader: Reader) -> bool:
+    def _take_slice(self, reader: ListReader) -> bool:
         """Take in a slice of what came; whether there is more to do."""
-        taken, changes = self._taken, Listing(io.BackendsChanged(io.ListKind.DELTA), {})
+        taken, changes = self._current_list, Listing(io.BackendsChanged(io.ListKind.DELTA), {})
         backends: list[io.Backend] = []
         if taken.unnamed is None:
-            part = reader.read(SLICE)
+            part = reader.read(ENTRIES_PER_SLICE)
             if part is None:
                 return False
             self._entries(part, backends, changes.addresses)
-            ends = part.ends
+            ends = part.is_last
         if taken.unnamed is not None:
-            names = list(islice(taken.unnamed, NAMES_SLICE))
-            backends += [self._gone(name) for name in names if name not in taken.named]
-            ends = len(names) < NAMES_SLICE
+            names = list(islice(taken.unnamed, NAMES_PER_SLICE))
+            backends += [self._gone(name) for name in names if name not in taken.listed_ids]
+            ends = len(names) < NAMES_PER_SLICE
         if backends or ends:
             changes.event.version, changes.event.backends = taken.version or 0, tuple(backends)
             if self._silent_since is not None:
@@ -341,14 +347,14 @@
             self._told(changes)
         if ends:
             self._silent_since = None
-            self._version, self._lists, self._taken = taken.version, self._lists + 1, Taken()
-            self.first.set()
-        return reader.any() or self._taken.unnamed is not None
+            self._version, self._lists, self._current_list = taken.version, self._lists + 1, Taken()
+            self.first_list_received.set()
+        return reader.has_unread() or self._current_list.unnamed is not None
 
-    def _entries(self, part: Part, backends: list[io.Backend], addresses: dict[str, Address]) -> None:
+    def _entries(self, part: ListPart, backends: list[io.Backend], addresses: dict[str, Address]) -> None:
         """What of a part is a change."""
-        taken = self._taken
-        if taken.version is None and (part.ends or part.generation is not None):
+        taken = self._current_list
+        if taken.version is None and (part.is_last or part.generation is not None):
             taken.version = int(part.generation or 0)
             taken.stale = taken.version < self._newest
             self._newest = max(self._newest, taken.version)
@@ -359,14 +365,15 @@
             if entry is not None and self._changes(*entry):
                 backends.append(entry[0])
                 addresses[entry[0].id] = entry[1]
-        if part.ends and part.reset:
+        if part.is_last and part.reset:
             taken.unnamed = iter(list(self._known))
 
     def _changes(self, backend: io.Backend, where: Address | None) -> bool:
         """Whether an entry differs from what is known, which it then is. A list older than one before, as a
         new place may have that is behind, takes no leave back: only another process under that name does."""
-        name, taken, known = backend.id, self._taken, self._known.get(backend.id)
-        taken.named[known[0].id if known else name] = None  # the one that is kept: the other goes at once
+        name, taken, known = backend.id, self._current_list, self._known.get(backend.id)
+        # the one that is kept: the other goes at once
+        taken.listed_ids[known[0].id if known else name] = None
         if backend.state is io.BackendState.UP and backend.started_ms <= self._leaving.get(name, -1.0):
             if taken.stale is None:
                 taken.held.append((backend, where))
@@ -381,8 +388,8 @@
             return self._known.pop(name, None) is not None
         if known == (backend, where):
             return False
-        if known is None and len(self._known) >= KNOWN_MOST:
-            raise ValueError(f"over {KNOWN_MOST} backends")
+        if known is None and len(self._known) >= MAX_KNOWN_BACKENDS:
+            raise ValueError(f"over {MAX_KNOWN_BACKENDS} backends")
         self._known[name] = backend, where
         return True
 
@@ -393,5 +400,5 @@
 
     def _leave(self, name: str, started: float) -> None:
         self._leaving[name] = started
-        while len(self._leaving) > max(LEAVING_MOST, len(self._known)):
+        while len(self._leaving) > max(MAX_LEAVING_BACKENDS, len(self._known)):
             del self._leaving[next(iter(self._leaving))]
--- a/elderhub/host.py
+++ b/elderhub/host.py
@@ -18,14 +18,14 @@
 from cobaltline import interface as io
 
 from .backends import Backends, Exchange
-from .checks import ID, Message, RequestError
+from .checks import REQUEST_ID_HEADER, HttpRequest, RequestError
 from .clients import Client, Clients
 from .config import Config
-from .counter import Counter
-from .discovery import Discovery, Listing
+from .counter import CounterClient
+from .discovery import DiscoveryClient, Listing
 from .peers import Peers
-from .system import REAL, System
-from .wire import Address, report
+from .system import REAL_SYSTEM, System
+from .wire import Address, parse_load_report
 
 log = logging.getLogger(__name__)
 
@@ -34,18 +34,19 @@
 OWN_SOCKETS = 36
 CLIENT_SHARE, CLIENT_PART = 0.5, 0.6  # clients' connections: of all, and at most of what is left
 BACKEND_SHARE, BACKEND_PART = 0.3, 0.4  # and those to backends
-FREEZE_EACH = 512  # entries of lists: what is kept of them is in no cycle, and with 26,000 a look costs 30 ms
+# entries of lists: what is kept of them is in no cycle, and with 26,000 a look costs 30 ms
+GC_FREEZE_ENTRIES = 512
 
 
 class Clock:
     """Unix time in ms as it was at the start, carried by the monotonic clock: never goes backwards. It is out
     of step with other machines where a wall clock was stepped."""
 
-    def __init__(self, system: System = REAL) -> None:
+    def __init__(self, system: System = REAL_SYSTEM) -> None:
         self._monotonic = system.monotonic
         self.origin_ms = system.unix_time() * 1000.0 - system.monotonic() * 1000.0  # with the monotonic at 0
 
-    def now(self) -> float:
+    def now_ms(self) -> float:
         return self.origin_ms + self._monotonic() * 1000.0
 
 
@@ -67,9 +68,9 @@
         "timer",
     )
 
-    def __init__(self, name: str, client: Client, message: Message, deadline: float):
+    def __init__(self, name: str, client: Client, message: HttpRequest, deadline: float):
         self.id, self.client, self.message, self.deadline = name, client, message, deadline
-        self.name = message.headers[ID]
+        self.name = message.headers[REQUEST_ID_HEADER]
         self.head = b""
         self.out: dict[int, Exchange] = {}
         self.sends = 0
@@ -78,10 +79,10 @@
 
 
 class Host:
-    def __init__(self, config: Config, system: System = REAL):
+    def __init__(self, config: Config, system: System = REAL_SYSTEM):
         self._loop = asyncio.get_running_loop()
         self._clock = Clock(system)
-        self.now = self._clock.now
+        self.now_ms = self._clock.now_ms
         left = config.sockets - OWN_SOCKETS
         connections = int(min(config.sockets * BACKEND_SHARE, left * BACKEND_PART))  # to backends
         # The module chooses who waits where there are fewer connections than it would send requests.
@@ -93,8 +94,8 @@
         )
         self._module = Gateway(settings, config.seed)
         self._requests: dict[str, OpenRequest] = {}
-        self._names: set[bytes] = set()  # what their clients call them
-        self._last = 0
+        self._open_ids: set[bytes] = set()  # what their clients call them
+        self._last_request_number = 0
         self._events: deque = deque()
         self._busy = False
         self._entries = 0  # of lists, since what is kept of them was taken out of the collector's sight
@@ -103,35 +104,37 @@
         )
         self.backends = Backends(settings, config.keepalive_ms, connections, system)
         self.counter = (
-            Counter(config.counter, settings.counter_timeout_ms, self.put) if config.counter else None
+            CounterClient(config.counter, settings.counter_timeout_ms, self.dispatch)
+            if config.counter
+            else None
         )
-        self.discovery = Discovery(
+        self.discovery = DiscoveryClient(
             config.discovery,
             config.known.event.version,
-            self.listed,
+            self.apply_listing,
             settings.poll_interval_ms / 1000.0 if settings.must_poll else 0.0,
             system.random,
         )
-        self.discovery.remember(config.known)
-        self.peers = Peers(config, self.put)
-        self._do = {
+        self.discovery.set_known_backends(config.known)
+        self.peers = Peers(config, self.dispatch)
+        self._action_handlers = {
             io.Send: self._send,
             io.Reject: self._reject,
             io.Fail: self._fail,
             io.Cancel: self._cancel,
             io.CounterAdd: self._count,
             io.SetTimer: self._set_timer,
-            io.SendPeerMessage: self.peers.tell,
+            io.SendPeerMessage: self.peers.send,
             io.Probe: self._probe,
             io.CloseIdle: lambda a: self.backends.close_idle(a.backend),
             io.Subscribe: lambda a: self.discovery.restart(),
             io.Log: lambda a: log.info("%s", a.text),
-            io.Fetch: lambda a: self.discovery.restart(whole=True),
+            io.Fetch: lambda a: self.discovery.restart(full=True),
         }
 
     # Events in, actions out.
 
-    def put(self, event) -> None:
+    def dispatch(self, event) -> None:
         """Hand an event to the module, after those that came before it and their actions."""
         self._events.append(event)
         if self._busy:
@@ -145,16 +148,16 @@
 
     def _step(self, event) -> None:
         try:
-            actions = self._module.handle(self.now(), event)
+            actions = self._module.handle(self.now_ms(), event)
         except Exception:
             log.exception("the module failed on %r", event)
             # What it had decided by then is carried out, or calls would be missing that it waits for.
             actions, self._module.actions = self._module.actions, []
             self._give_up(getattr(event, "request", ""))
-            self._loop.call_later(0.05, self.put, io.TimerFired(""))
+            self._loop.call_later(0.05, self.dispatch, io.TimerFired(""))
         for action in actions:
             try:
-                self._do[type(action)](action)
+                self._action_handlers[type(action)](action)
             except Exception:
                 log.exception("failed on %r", action)
                 self._give_up(getattr(action, "request", ""))
@@ -167,31 +170,32 @@
 
     def _forget(self, held: OpenRequest) -> None:
         if held.told and not held.out and self._requests.pop(held.id, None) is not None:
-            self._names.discard(held.name)
+            self._open_ids.discard(held.name)
 
     # Requests.
 
-    def take(self, client: Client, message: Message, event: io.RequestArrived) -> None:
-        if message.headers[ID] in self._names:  # its attempts would be taken for second copies of the other's
+    def handle_request(self, client: Client, message: HttpRequest, event: io.RequestArrived) -> None:
+        # its attempts would be taken for second copies of the other's
+        if message.headers[REQUEST_ID_HEADER] in self._open_ids:
             raise RequestError(409, "a request of this id is open")
-        self._names.add(message.headers[ID])
-        self._last += 1
-        event.request = f"{self._last}"
+        self._open_ids.add(message.headers[REQUEST_ID_HEADER])
+        self._last_request_number += 1
+        event.request = f"{self._last_request_number}"
         held = self._requests[event.request] = OpenRequest(event.request, client, message, event.deadline_ms)
-        client.held = held
-        wait_s = (event.deadline_ms - self.now()) / 1000.0
+        client.open_request = held
+        wait_s = (event.deadline_ms - self.now_ms()) / 1000.0
         held.timer = self._loop.call_later(max(0.0, wait_s), self._overdue, held)
-        self.put(event)
+        self.dispatch(event)
 
-    def left(self, client: Client) -> None:
-        held, client.held = client.held, None
+    def client_disconnected(self, client: Client) -> None:
+        held, client.open_request = client.open_request, None
         if self._close(held):
-            self.put(io.ClientDisconnected(held.id))
+            self.dispatch(io.ClientDisconnected(held.id))
 
     def _wanted(self, held: OpenRequest) -> bool:
         """Whether the request is still open and its client there: asked before each send."""
-        if not held.done and held.client.gone():
-            self.left(held.client)
+        if not held.done and held.client.has_disconnected():
+            self.client_disconnected(held.client)
         return not held.done
 
     def _close(self, held: OpenRequest) -> bool:
@@ -201,7 +205,7 @@
         held.done = True
         held.timer.cancel()
         for exchange in list(held.out.values()):
-            exchange.withdraw()
+            exchange.withdraw_if_unsent()
         return True
 
     def _answer(self, held: OpenRequest, status: int, body: bytes = b"", headers: bytes = b"") -> bool:
@@ -209,8 +213,8 @@
         if not self._close(held):
             return False
         client = held.client
-        client.held = None
-        client.answer(status, body, headers)
+        client.open_request = None
+        client.respond(status, body, headers)
         return True
 
     def _overdue(self, held: OpenRequest) -> None:
@@ -222,7 +226,7 @@
     def _give_up(self, name: str) -> None:
         held = self._requests.get(name)
         if held is not None and self._answer(held, 500):
-            self.put(io.ClientDisconnected(name))
+            self.dispatch(io.ClientDisconnected(name))
 
     def _reject(self, action: io.Reject) -> None:
         held = self._requests.get(action.request)
@@ -250,36 +254,36 @@
             number = held.sends if held else 0
             if held:
                 held.sends += 1
-            self.put(io.AttemptEnded(action.request, number, action.backend, io.Outcome.NOT_SENT, True))
+            self.dispatch(io.AttemptEnded(action.request, number, action.backend, io.Outcome.NOT_SENT, True))
             return
-        now = self.now()
+        now = self.now_ms()
         until = min(action.deadline_ms or held.deadline, held.deadline)
         if not held.head:
             held.head = held.message.head()
         until_s = self._loop.time() + (until - now) / 1000.0
         exchange = Exchange(action.backend, held.head, held.message.body, until_s, self._ended)
-        exchange.request, exchange.number, exchange.started = held, held.sends, now
-        exchange.wanted = functools.partial(self._wanted, held)
+        exchange.request, exchange.attempt_number, exchange.started_ms = held, held.sends, now
+        exchange.is_wanted = functools.partial(self._wanted, held)
         held.out[held.sends] = exchange
         held.sends += 1
         self.backends.send(exchange)
 
     def _ended(self, exchange: Exchange) -> None:
         held = exchange.request
-        del held.out[exchange.number]
+        del held.out[exchange.attempt_number]
         outcome = exchange.outcome
         if outcome is io.Outcome.OK:
-            self._answer(held, 200, exchange.answer, exchange.headers)
+            self._answer(held, 200, exchange.response_body, exchange.response_headers)
         held.ran = held.ran or outcome not in io.NEVER_RAN
-        self.put(
+        self.dispatch(
             io.AttemptEnded(
                 held.id,
-                exchange.number,
+                exchange.attempt_number,
                 exchange.backend,
                 outcome,
                 held.done,
-                self.now() - exchange.started,
-                report=report(exchange.report),
+                self.now_ms() - exchange.started_ms,
+                report=parse_load_report(exchange.load_report),
             )
         )
 
@@ -287,70 +291,70 @@
         held = self._requests.get(action.request)
         exchange = held.out.get(action.attempt) if held else None
         if exchange is not None:
-            exchange.drop(io.Outcome.CANCELLED)
+            exchange.abandon(io.Outcome.CANCELLED)
 
     # All else.
 
-    def move(self, discovery: Address, counter: Address | None) -> None:
+    def set_addresses(self, discovery: Address, counter: Address | None) -> None:
         """Discovery and the counter are elsewhere now."""
-        self.discovery.move(discovery)
+        self.discovery.set_address(discovery)
         if self.counter is not None and counter is not None:
-            self.counter.move(counter)
+            self.counter.set_address(counter)
 
-    def listed(self, found: Listing) -> None:
+    def apply_listing(self, found: Listing) -> None:
         if not found.event.backends and found.event.kind is io.ListKind.DELTA:
             return
-        parted = self.backends.listed(found)
-        self.put(found.event)
+        parted = self.backends.apply_listing(found)
+        self.dispatch(found.event)
         for pool in parted:
             pool.close()
         self._entries += len(found.event.backends)
-        if self._entries >= FREEZE_EACH:
+        if self._entries >= GC_FREEZE_ENTRIES:
             self._entries = 0
             gc.collect(1)
             gc.freeze()
 
     def _count(self, action: io.CounterAdd) -> None:
         if self.counter is None:
-            self.put(io.CounterResult(action.name, io.Outcome.CONNECT_FAILED))
+            self.dispatch(io.CounterResult(action.name, io.Outcome.CONNECT_FAILED))
         else:
-            self.counter.count(action)
+            self.counter.add(action)
 
     def _set_timer(self, action: io.SetTimer) -> None:
         delay_s = math.ceil(max(0.0, action.delay_ms)) / 1000.0
-        self._loop.call_later(delay_s, self._wake, action.token, self.now() + action.delay_ms)
+        self._loop.call_later(delay_s, self._wake, action.token, self.now_ms() + action.delay_ms)
 
     def _wake(self, token: str, due: float) -> None:
         """Never early: the loop counts whole milliseconds from a time it looked up a while ago, and the
         module takes a timer that fired too soon for one still to come, and waits for that for ever."""
-        left = due - self.now()
+        left = due - self.now_ms()
         if left > 0.0:
             self._loop.call_later(math.ceil(left) / 1000.0, self._wake, token, due)
         else:
-            self.put(io.TimerFired(token))
+            self.dispatch(io.TimerFired(token))
 
     def _probe(self, action: io.Probe) -> None:
-        began = self.now()
+        began = self.now_ms()
 
         def done(exchange: Exchange) -> None:
-            figures = report(exchange.report or exchange.answer)
-            self.put(io.ProbeResult(action.backend, exchange.outcome, self.now() - began, figures))
+            figures = parse_load_report(exchange.load_report or exchange.response_body)
+            self.dispatch(io.ProbeResult(action.backend, exchange.outcome, self.now_ms() - began, figures))
 
         self.backends.probe(action.backend, done)
 
     # The end.
 
-    def stop(self) -> None:
+    def start_draining(self) -> None:
         """The process was told to end: it serves what it has."""
-        self.put(io.Stopping())
-        self.clients.drain()
+        self.dispatch(io.Stopping())
+        self.clients.start_draining()
 
-    def finish(self) -> None:
+    def answer_open_requests(self) -> None:
         """The last moment: what is still open is answered by the rules, refused only if it can't have run."""
-        self.clients.over = True
+        self.clients.is_stopped = True
         for held in list(self._requests.values()):
             if not held.done:
-                ran = held.ran or any(exchange.sent for exchange in held.out.values())
+                ran = held.ran or any(exchange.is_sent for exchange in held.out.values())
                 self._answer(held, 502 if ran else 503)
             for exchange in list(held.out.values()):
-                exchange.drop(io.Outcome.CANCELLED)
+                exchange.abandon(io.Outcome.CANCELLED)
--- a/elderhub/peers.py
+++ b/elderhub/peers.py
@@ -34,7 +34,7 @@
     def error_received(self, error: OSError) -> None:
         """A peer that is down: messages may be lost, nothing waits for them."""
 
-    def tell(self, action: io.SendPeerMessage) -> None:
+    def send(self, action: io.SendPeerMessage) -> None:
         if self._transport is None or self._transport.is_closing():
             return
         if len(action.payload) > MOST_BYTES:
--- a/elderhub/system.py
+++ b/elderhub/system.py
@@ -40,4 +40,4 @@
         return float(int.from_bytes(info[LAST_DATA_RECEIVED:TCP_INFO_BYTES], sys.byteorder))
 
 
-REAL = System()
+REAL_SYSTEM = System()
--- a/elderhub/wire.py
+++ b/elderhub/wire.py
@@ -8,9 +8,9 @@
 
 Address = tuple[str, int]
 
-MOST_BYTES = 64 * 1024  # of a body, and of a head
+MAX_MESSAGE_BYTES = 64 * 1024  # of a body, and of a head
 
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -25,7 +25,7 @@
 )
 
 
-def address(text: object) -> Address:
+def parse_address(text: object) -> Address:
     """`host:port` as a pair; raises ValueError."""
     if not isinstance(text, str):
         raise ValueError(f"{text!r} is not an address")
@@ -38,7 +38,7 @@
 NUMBER = re.compile(rb"[+-]?\d{1,15}(\.\d{1,32})?([eE][+-]?\d{1,2})?")
 
 
-def number(text: bytes, least: float, most: float) -> float | None:
+def parse_number(text: bytes, least: float, most: float) -> float | None:
     """A decimal number in range; none where it is another thing, as `float` also takes nan, inf and 1_0."""
     if not NUMBER.fullmatch(text):
         return None
@@ -46,14 +46,14 @@
     return value if least <= value <= most else None
 
 
-def report(text: bytes | None) -> dict[str, float] | None:
+def parse_load_report(text: bytes | None) -> dict[str, float] | None:
     """A load report as `name=value` pairs; pairs that are none are passed over."""
     if not text:
         return None
     out = {}
     for pair in text.split(b","):
         name, _, value = pair.strip().partition(b"=")
-        figure = number(value.strip(), 0.0, 1e9)
+        figure = parse_number(value.strip(), 0.0, 1e9)
         if name and figure is not None:
             out[name.decode("latin-1")] = figure
     return out
--- a/emulator/agent.py
+++ b/emulator/agent.py
@@ -122,12 +122,12 @@
         self.version = event.version
         counts_at = now if self._silent_since is None else max(now, self._silent_since + SILENT_MS)
         for backend in event.backends:
-            self._world.checks.told(
+            self._world.checks.record_backend_change(
                 self.number, backend.id, backend.state is not io.BackendState.UP, counts_at
             )
         for name in before:
             if name not in self.known:
-                self._world.checks.told(self.number, name, True, counts_at)
+                self._world.checks.record_backend_change(self.number, name, True, counts_at)
         self._answer_all()
         for watch in self._watches:
             if watch.begun and not watch.mute:
@@ -154,7 +154,9 @@
             self._silent_since = None
             for backend in self.known.values():  # what was missed is told now, if it did not count before
                 if backend.state is not io.BackendState.UP:
-                    self._world.checks.told(self.number, backend.id, True, self._world.clock.now + SAME_MS)
+                    self._world.checks.record_backend_change(
+                        self.number, backend.id, True, self._world.clock.now + SAME_MS
+                    )
         watch.stream.send(HEAD)
         named = AFTER.search(watch.head)
         after = int(named[1]) if named else 0
--- a/emulator/command.py
+++ b/emulator/command.py
@@ -86,7 +86,7 @@
     click.echo(report.pairs(found))
     for rule, count in record.broken.items():
         click.echo(f"broken: {rule}, {count} times")
-        click.echo(searching.trace(record, rule))
+        click.echo(searching.format_trace(record, rule))
     for line in record.errors:
         click.echo(f"a gateway logged: {line}")
 
@@ -158,7 +158,7 @@
     keep(
         file,
         {
-            "again": searching.again(chosen),
+            "again": searching.replay_expression(chosen),
             "figures": found,
             "broken": record.broken,
             "errors": record.errors,
@@ -207,6 +207,6 @@
         click.echo("no rule broke")
         return
     click.echo(f"broken after {found.plays} plays, made small in {found.shrinks}: {found.rule}")
-    click.echo(searching.trace(found.record, found.rule))
-    click.echo(f"again: {searching.again(found.options)}")
+    click.echo(searching.format_trace(found.record, found.rule))
+    click.echo(f"again: {searching.replay_expression(found.options)}")
     sys.exit(1)
--- a/emulator/front.py
+++ b/emulator/front.py
@@ -9,7 +9,7 @@
 from scale.clients import KINDS, Try
 
 from . import framing
-from .checks import CLOSED, LATE_MS, READY_MS, TIME_UP, Asked
+from .checks import CLOSED, LATE_MS, READY_MS, TIME_UP, SentRequest
 from .network import Address, Machine, Socket, Stream
 
 HEALTH_MS = 100.0  # between two questions whether a gateway that starts is ready
@@ -23,9 +23,9 @@
 class Caller:
     """One connection."""
 
-    def __init__(self, front: Front, asked: Asked, text: bytes):
+    def __init__(self, front: Front, asked: SentRequest, text: bytes):
         self._front, self._data = front, bytearray()
-        self.asked: Asked | None = asked
+        self.asked: SentRequest | None = asked
         self._text = text
         front.opened()
         self._used = 0  # requests answered on it
@@ -41,7 +41,7 @@
         self.close()
         self._front.refused(asked)
 
-    def ask(self, asked: Asked, text: bytes) -> None:
+    def ask(self, asked: SentRequest, text: bytes) -> None:
         self.asked, self._text, self._data = asked, text, bytearray()
         self.stream.send(text)
 
@@ -147,7 +147,7 @@
         method = b"POST" if body else b"GET"
         target = b"/api/%b" % event.customer.encode()
         name = f"{number:016x}"
-        asked = Asked(
+        asked = SentRequest(
             name,
             t,
             b"%b %b\n%b" % (method, target, body),
@@ -163,11 +163,11 @@
         )
         length = b"Content-Length: %d\r\n" % len(body) if body else b""
         text = b"%b %b HTTP/1.1\r\n%b%b\r\n%b" % (method, target, head.encode(), length, body)
-        self._world.checks.sent(asked)
+        self._world.checks.record_request(asked)
         self._world.clock.at(t.deadline + LATE_MS, self._overdue, asked)
         self._send(asked, text)
 
-    def _send(self, asked: Asked, text: bytes) -> None:
+    def _send(self, asked: SentRequest, text: bytes) -> None:
         while self.idle:
             caller = self.idle.pop()
             if caller.usable():
@@ -189,43 +189,43 @@
         caller.close()
         # The end is the last of what is on its way there.
         heard_at = max(now, caller._sock.due) if caller._sock.peer is not None else now
-        self._world.checks.left(now, heard_at, asked)
+        self._world.checks.record_client_leave(now, heard_at, asked)
 
-    def answered(self, asked: Asked, status: int, body: bytes, after_ms: float, sent_at: float) -> None:
+    def answered(self, asked: SentRequest, status: int, body: bytes, after_ms: float, sent_at: float) -> None:
         w = self._world
         self._callers.pop(asked.name, None)
-        how = w.checks.answered(w.clock.now, asked, status, body, sent_at)
+        how = w.checks.record_response(w.clock.now, asked, status, body, sent_at)
         w.answered(asked, how, after_ms)
         self._next()
 
     def unasked(self, data: bytes) -> None:
-        self._world.checks.breaks(
+        self._world.checks.add_violation(
             self._world.clock.now, "bytes that answer nothing", data[:60].decode("latin-1")
         )
 
-    def refused(self, asked: Asked) -> None:
+    def refused(self, asked: SentRequest) -> None:
         """The gateway is not there."""
         self._callers.pop(asked.name, None)
         asked.final = "unreachable"
         asked.trace.append((self._world.clock.now, "no gateway listens"))
         self._world.ended(asked, "unreachable")
 
-    def broken_off(self, asked: Asked, text: bytes, new: bool, begun: bool) -> None:
+    def broken_off(self, asked: SentRequest, text: bytes, new: bool, begun: bool) -> None:
         """Its connection has ended with no whole answer. On one that was used before, the two may cross."""
         w, now = self._world, self._world.clock.now
         self._callers.pop(asked.name, None)
         if asked.life != self._gateway.life or self._gateway.killed():
-            w.checks.died(now, asked)
+            w.checks.record_gateway_death(now, asked)
             w.record.lost += 1
             w.ended(asked, "lost")
         elif not (new or begun or asked.attempts):
             asked.trace.append((now, "its connection was closed: sent once more"))
             self._send(asked, text)
         else:
-            w.checks.unanswered(now, asked, CLOSED, new)
+            w.checks.record_no_response(now, asked, CLOSED, new)
             w.ended(asked, "failed")
 
-    def _overdue(self, asked: Asked) -> None:
+    def _overdue(self, asked: SentRequest) -> None:
         caller = self._callers.pop(asked.name, None)
         if asked.final or caller is None:
             return
@@ -233,10 +233,10 @@
         caller.close()
         w, now = self._world, self._world.clock.now
         if asked.life != self._gateway.life or self._gateway.killed():
-            w.checks.died(now, asked)
+            w.checks.record_gateway_death(now, asked)
             w.record.lost += 1
         else:
-            w.checks.unanswered(now, asked, TIME_UP, caller.new())
+            w.checks.record_no_response(now, asked, TIME_UP, caller.new())
 
     # Whether it is ready.
 
@@ -250,7 +250,7 @@
             return
         now = w.clock.now
         if now - since > READY_MS:
-            w.checks.breaks(now, "not ready in time", f"gateway {gateway.number}")
+            w.checks.add_violation(now, "not ready in time", f"gateway {gateway.number}")
             return
         Health(self, lambda: gateway.ready(life, w.clock.now - since))
         w.clock.at(now + HEALTH_MS, self._again, life, since)
--- a/emulator/gateway.py
+++ b/emulator/gateway.py
@@ -6,11 +6,11 @@
 from random import Random
 
 from cobaltline import interface as io
-from elderhub.__main__ import MOST_DEADLINE_S, begin, drain
+from elderhub.__main__ import MAX_DRAIN_DEADLINE_S, drain, start_gateway
 from elderhub.config import Config
 from elderhub.discovery import Listing
 from elderhub.host import Host
-from elderhub.wire import address
+from elderhub.wire import parse_address
 from scale.backends import KEEPALIVE_MS
 from scale.clients import Try
 
@@ -63,7 +63,7 @@
         known = self.agent
         listing = Listing(
             io.BackendsChanged(io.ListKind.CACHED, known.version, tuple(known.known.values())),
-            {name: address(name) for name in known.known},
+            {name: parse_address(name) for name in known.known},
         )
         config = Config(
             name=f"n{self.number}",
@@ -84,7 +84,7 @@
 
     async def _program(self, config: Config, system: VirtualSystem, stop: asyncio.Event) -> None:
         self.host = host = Host(config, system)
-        ready = await begin(host, config)
+        ready = await start_gateway(host, config)
         await stop.wait()
         ready.cancel()
         await drain(host, config)
@@ -125,7 +125,9 @@
         longest = max(kind.timeout_ms for kind in self.settings.classes.values())
         self._machine.event(self._stop.set)
         clock.at(clock.now + NOTICED_MS, self._noticed, self.life)
-        clock.at(clock.now + min(longest, MOST_DEADLINE_S * 1000.0) + KILL_MS, self._end, self.life, True)
+        clock.at(
+            clock.now + min(longest, MAX_DRAIN_DEADLINE_S * 1000.0) + KILL_MS, self._end, self.life, True
+        )
 
     def _noticed(self, life: int) -> None:
         if life == self.life:
--- a/emulator/network.py
+++ b/emulator/network.py
@@ -19,9 +19,9 @@
 
 Address = tuple[str, int]
 
-WINDOW = 128 * 1024  # bytes of one direction that are sent and not yet read, both buffers together
-CUT = 0.02  # of what is sent comes in two pieces
-CUT_MS = (0.0, 3.0)  # the second so long after the first
+WINDOW_BYTES = 128 * 1024  # bytes of one direction that are sent and not yet read, both buffers together
+SPLIT_SHARE = 0.02  # of what is sent comes in two pieces
+SPLIT_DELAY_MS = (0.0, 3.0)  # the second so long after the first
 JITTER = 0.1  # of the link's delay, at most
 SYN_MS = (1000.0, 2000.0, 4000.0)  # a call for a connection that got no answer is made again after these
 ERRORS = select.POLLERR | select.POLLHUP
@@ -118,7 +118,7 @@
         "number",
         "name",
         "peer",
-        "inbox",
+        "receive_buffer",
         "ended",
         "reset",
         "shut",
@@ -128,7 +128,7 @@
         "due",
         "reader",
         "writer",
-        "shut_at",
+        "send_closed_at",
         "sent_at",
         "up",
     )
@@ -137,11 +137,11 @@
         self.machine, self.name = machine, name  # the connection's number, with its side as the sign
         self.number = -1
         self.peer: Socket | None = None
-        self.inbox = bytearray()
+        self.receive_buffer = bytearray()
         self.ended = self.reset = False  # the other side has; as far as it has come here
         self.shut = self.closed = self.up = False
-        self.shut_at = float("inf")  # when this side ended its sending, or closed
-        self.window, self.blocked, self.due = WINDOW, False, 0.0
+        self.send_closed_at = float("inf")  # when this side ended its sending, or closed
+        self.window, self.blocked, self.due = WINDOW_BYTES, False, 0.0
         self.sent_at = 0.0  # when bytes last left
         self.reader: Callable[[], None] = _nobody
         self.writer: Callable[[], None] = _nobody
@@ -174,9 +174,9 @@
 
     def read(self, most: int) -> bytes:
         """What has come, at most so much; empty where nothing has."""
-        data = bytes(self.inbox[:most])
+        data = bytes(self.receive_buffer[:most])
         if data:
-            del self.inbox[:most]
+            del self.receive_buffer[:most]
             peer = self.peer
             peer.window += len(data)
             if peer.blocked:
@@ -187,13 +187,13 @@
     def shutdown(self) -> None:
         """End the sending; what comes is still read."""
         if not (self.shut or self.closed or self.reset):
-            self.shut, self.shut_at = True, self.machine.network.clock.now
+            self.shut, self.send_closed_at = True, self.machine.network.clock.now
             self.machine.network.carry(self, None)
 
     def close(self) -> None:
         """Over unread bytes, a reset."""
         if not self.closed:
-            self._end(bool(self.inbox))
+            self._end(bool(self.receive_buffer))
 
     def abort(self) -> None:
         if not self.closed:
@@ -201,8 +201,8 @@
 
     def _end(self, reset: bool) -> None:
         self.closed = True
-        self.shut_at = min(self.shut_at, self.machine.network.clock.now)
-        self.inbox.clear()
+        self.send_closed_at = min(self.send_closed_at, self.machine.network.clock.now)
+        self.receive_buffer.clear()
         self.machine.files.pop(self.number, None)
         if self.peer is None or self.reset:
             return
@@ -224,12 +224,12 @@
         elif data is None:
             self.ended = True
         else:
-            self.inbox += data
+            self.receive_buffer += data
         self.reader()
 
     def events(self) -> int:
         """As `poll` tells them."""
-        found = select.POLLIN if self.inbox or self.ended or self.reset else 0
+        found = select.POLLIN if self.receive_buffer or self.ended or self.reset else 0
         if self.ended or self.reset:
             found |= select.POLLRDHUP
         if self.reset:
@@ -281,7 +281,7 @@
         self._digest = hashlib.blake2b(digest_size=16)
         self._held: list[tuple[Socket, bytes | None]] = []  # sent over links that are cut
         # What a connection to this address has to wait before it comes up, in ms; None: it never does.
-        self.come_up: Callable[[Address, Random], float | None] = lambda where, rng: 0.0
+        self.connect_delay_ms: Callable[[Address, Random], float | None] = lambda where, rng: 0.0
 
     def digest(self) -> str:
         """Over all that was sent so far: by which end, when it comes, and its bytes."""
@@ -301,12 +301,12 @@
         if not self.links.reach(sock.machine.zone, sock.peer.machine.zone):
             self._held.append((sock, data))
             return
-        if data is None or data is RESET or len(data) < 2 or self._rng.random() >= CUT:
+        if data is None or data is RESET or len(data) < 2 or self._rng.random() >= SPLIT_SHARE:
             self._bring(sock, data, 0.0)
         else:
             at = self._rng.randrange(1, len(data))
             self._bring(sock, data[:at], 0.0)
-            self._bring(sock, data[at:], self._rng.uniform(*CUT_MS))
+            self._bring(sock, data[at:], self._rng.uniform(*SPLIT_DELAY_MS))
 
     def _bring(self, sock: Socket, data: bytes | None, wait_ms: float) -> None:
         delay = self._delay(sock.machine, sock.peer.machine) * (1.0 + JITTER * self._rng.random())
@@ -317,7 +317,7 @@
         self._digest.update(body)
         self.clock.at(sock.due, sock.peer.arrive, data)
 
-    def healed(self) -> None:
+    def send_held(self) -> None:
         """Links may reach again: what waited goes on."""
         held, self._held = self._held, []
         for sock, data in held:
@@ -330,7 +330,7 @@
         none where it never comes up; none once the socket was closed."""
         self.connections += 1
         sock = Socket(machine, self.connections).own()
-        wait_ms = self.come_up(where, self._rng)
+        wait_ms = self.connect_delay_ms(where, self._rng)
         if wait_ms is not None:
             self.clock.at(self.clock.now + wait_ms, self._call, sock, where, up, failed, 0)
         return sock
@@ -394,7 +394,7 @@
         sock = self.sock
         if sock.closed or not sock.up:
             return
-        data = sock.read(WINDOW)
+        data = sock.read(WINDOW_BYTES)
         if data:
             self.heard(data)
         if (sock.ended or sock.reset) and not self._over and not sock.closed:
@@ -421,4 +421,4 @@
 
     def other_shut_at(self) -> float:
         """When the other end stopped sending, or closed; infinite while it has not."""
-        return self.sock.peer.shut_at
+        return self.sock.peer.send_closed_at
--- a/emulator/search.py
+++ b/emulator/search.py
@@ -22,12 +22,12 @@
     rule: str
     options: Options
     record: Record
-    drawn: Options  # as the search had drawn them
+    drawn_options: Options  # as the search had drawn them
     plays: int  # until it was found
     shrinks: int  # plays that made it small
 
 
-def again(options: Options) -> str:
+def replay_expression(options: Options) -> str:
     """The Python expression that plays it again."""
     default = Options()
     told = [
@@ -38,7 +38,7 @@
     return f"emulator.play(Options({', '.join(told)}))"
 
 
-def trace(record: Record, rule: str) -> str:
+def format_trace(record: Record, rule: str) -> str:
     """What became of the first request that broke it, part by part."""
     for at, broken, about in record.examples:
         if broken == rule:
--- a/emulator/servers.py
+++ b/emulator/servers.py
@@ -8,7 +8,7 @@
 from scale.hollow import ERRORS
 
 from . import framing
-from .checks import Asked, Attempt
+from .checks import Attempt, SentRequest
 from .network import Machine, Socket, Stream
 
 SWEEP_MS = 1000.0  # between two looks for connections that stood idle
@@ -69,7 +69,7 @@
     def __init__(self, server: BackendServer, sock: Socket):
         self._server, self._life = server, server.backend.life
         self._data = bytearray()
-        self._asked: Asked | None = None
+        self._asked: SentRequest | None = None
         self._attempt: Attempt | None = None  # out for it
         self._busy = False  # a request or a probe is in work
         self._since = server.world.clock.now
@@ -99,7 +99,7 @@
 
     def _attempt_over(self) -> None:
         if self._attempt is not None:
-            self._attempt.over_at = self._server.world.clock.now
+            self._attempt.ended_at = self._server.world.clock.now
             self._server.world.accounts[self._asked.trying.customer].out -= 1
             self._attempt = None
 
@@ -122,7 +122,9 @@
         now = world.clock.now
         method, target, _ = head.split(b"\r\n", 1)[0].split(b" ", 2)
         if self._busy:
-            world.checks.breaks(now, "two requests at once on a connection", head[:60].decode("latin-1"))
+            world.checks.add_violation(
+                now, "two requests at once on a connection", head[:60].decode("latin-1")
+            )
         self._busy = True
         if target in PROBES:
             world.probes += 1
@@ -148,7 +150,7 @@
         else:
             world.clock.at(max(done, server.hangs_until), self._done, asked, self._attempt)
 
-    def _done(self, asked: Asked, attempt: Attempt) -> None:
+    def _done(self, asked: SentRequest, attempt: Attempt) -> None:
         server, rng = self._server, self._server.world.rng_answers
         world = server.world
         if self._attempt is not attempt or server.silent or self._life != server.backend.life:
@@ -253,7 +255,7 @@
                 raise ValueError(word)
             found = world.counter.add(name, float(amount), min(60_000.0, float(ttl)))
         except ValueError:
-            world.checks.breaks(now, "a call that the counter can't read", line.decode("latin-1"))
+            world.checks.add_violation(now, "a call that the counter can't read", line.decode("latin-1"))
             return now, b"error\r\n"
         if found is None:
             world.counter.unanswered += 1
--- a/emulator/virtual.py
+++ b/emulator/virtual.py
@@ -24,17 +24,17 @@
 
 class Loop(asyncio.SelectorEventLoop):
     def __init__(self, connect=None):
-        self.now = 0.0  # s
+        self.now_s = 0.0  # s
         super().__init__(Selector(self))
         self._connect = connect
 
     def time(self) -> float:
-        return self.now
+        return self.now_s
 
     def rest(self, timeout_s: float | None) -> None:
         """Nothing is to be done for so long (0: something is; None: nothing ever)."""
         assert timeout_s is not None, "nothing will ever happen"
-        self.now += timeout_s
+        self.now_s += timeout_s
 
     async def create_connection(self, factory, host=None, port=None, **options):
         return await self._connect(factory(), host, port)
--- a/emulator/world.py
+++ b/emulator/world.py
@@ -21,7 +21,7 @@
 from scale.record import figures, histogram
 from scale.world import BEGIN_MS, END_MS
 
-from .checks import Asked, Attempt, Checks
+from .checks import Attempt, Checks, SentRequest
 from .faults import KINDS as FAULTS
 from .faults import LEAVE_MS, Fault
 from .gateway import WholeGateway
@@ -108,12 +108,12 @@
         self.rng_answers = Random(options.seed + 4)
         self._rng_leavers = Random(options.seed + 5)
         super().__init__(options)
-        self.links.on_heal = self.network.healed
+        self.links.on_heal = self.network.send_held
 
     @cached_property
     def network(self) -> Network:
         found = Network(self.clock, self.links, Random(self.options.seed + 3))
-        found.come_up = self._come_up
+        found.connect_delay_ms = self._come_up
         return found
 
     @cached_property
@@ -177,11 +177,13 @@
         """A cold backend was sent more than it bears."""
         self.record.fallen += 1
         if backend.told_share() > FALL_TOLD:
-            self.checks.breaks(self.clock.now, "a cold backend pushed over", backend.name)
+            self.checks.add_violation(self.clock.now, "a cold backend pushed over", backend.name)
         self.stop(backend, Health.DEAD)
 
     def crashed(self, gateway: int, why: str) -> None:
-        self.checks.breaks(self.clock.now, "an error that a gateway did not catch", f"gateway {gateway}")
+        self.checks.add_violation(
+            self.clock.now, "an error that a gateway did not catch", f"gateway {gateway}"
+        )
         self._error(f"gateway {gateway}: {why}")
 
     def _error(self, text: str) -> None:
@@ -195,11 +197,13 @@
         known = self.whole[int(machine.rpartition("-")[2])].agent.known.get(backend.name)
         return known is not None and known.started_ms >= backend.started
 
-    def attempt(self, name: str, text: bytes, server: BackendServer, peer) -> tuple[Asked, Attempt] | None:
+    def attempt(
+        self, name: str, text: bytes, server: BackendServer, peer
+    ) -> tuple[SentRequest, Attempt] | None:
         """A request has come whole to a backend."""
         now, gateway = self.clock.now, int(peer.machine.name.rpartition("-")[2])
         grace_ms = self.whole[gateway].settings.drain_grace_ms
-        found = self.checks.attempt(now, name, text, server.backend.name, gateway, peer, grace_ms)
+        found = self.checks.record_attempt(now, name, text, server.backend.name, gateway, peer, grace_ms)
         if found is None:
             return None
         asked, attempt = found
@@ -210,11 +214,11 @@
         account.out += 1
         return found
 
-    def _first_attempt(self, t, account: Account, asked: Asked, attempt: Attempt) -> None:
+    def _first_attempt(self, t, account: Account, asked: SentRequest, attempt: Attempt) -> None:
         r, now = self.record, self.clock.now
         r.decided.record_value(max(1, int((attempt.sent_at - asked.sent_at) * 1000.0)))
         if account.over_ceiling(now, t.units):
-            self.checks.breaks(now, "over the ceiling", asked.name)
+            self.checks.add_violation(now, "over the ceiling", asked.name)
         if account.sent(now, t.units):
             r.inside += 1
             r.worth_inside += t.worth
@@ -225,7 +229,7 @@
         if self.leavers and self._rng_leavers.random() < self.leavers:
             self.clock.at(now + self._rng_leavers.uniform(0.0, LEAVE_MS), self.whole[asked.gateway].leave, t)
 
-    def answered(self, asked: Asked, how: str, after_ms: float) -> None:
+    def answered(self, asked: SentRequest, how: str, after_ms: float) -> None:
         """A client has its final answer."""
         t, r = asked.trying, self.record
         if how == "served":
@@ -240,7 +244,7 @@
                 r.refused_half_unused += half
         self.ended(asked, how, after_ms)
 
-    def ended(self, asked: Asked, how: str, after_ms: float = 0.0) -> None:
+    def ended(self, asked: SentRequest, how: str, after_ms: float = 0.0) -> None:
         asked.trying.done = True
         self.clients.ended(asked.trying, how, after_ms)
 
--- a/rosehitch/__main__.py
+++ b/rosehitch/__main__.py
@@ -86,11 +86,11 @@
     if file.endswith(".toml"):
         check_experiment(file)
         return
-    from elderhub.config import ConfigError, load
+    from elderhub.config import ConfigError, load_config
 
     logging.basicConfig(stream=sys.stderr, format="warning: %(message)s")  # entries that are passed over
     try:
-        config = load({**os.environ, "NODE_CONFIG": file})
+        config = load_config({**os.environ, "NODE_CONFIG": file})
     except ConfigError as error:
         click.echo(f"rosehitch: {error}", err=True)
         sys.exit(2)
--- a/rosehitch/backends.py
+++ b/rosehitch/backends.py
@@ -43,7 +43,7 @@
             self._name = value.decode("latin-1")
 
     def on_message_complete(self) -> None:
-        self.attempt = self._backend.rules.reached(
+        self.attempt = self._backend.rules.record_attempt(
             self._name, self._backend.name, self._began, time.monotonic()
         )
         self._work = asyncio.get_running_loop().create_task(self._backend.serve(self))
@@ -52,7 +52,7 @@
         self._parser = None  # they hold each other
         self._backend.connections.discard(self)
         if self.attempt is not None:
-            self._backend.rules.closed(self.attempt, time.monotonic())
+            self._backend.rules.record_connection_end(self.attempt, time.monotonic())
             self._work.cancel()
 
 
@@ -73,7 +73,7 @@
         """Answers with a body that no other request or backend has."""
         attempt = connection.attempt
         if self.held >= CORES + QUEUE:
-            self.rules.turned_away(attempt)
+            self.rules.record_rejected(attempt)
             connection.transport.write(FULL)
             return
         self.held += 1
@@ -83,7 +83,7 @@
         finally:
             self.held -= 1
         body = f"{attempt.request} by {self.name}".encode()
-        self.rules.served(attempt, body)
+        self.rules.record_served(attempt, body)
         connection.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
     def end(self) -> None:
@@ -91,5 +91,5 @@
         self._server.close()
         for connection in list(self.connections):
             if connection.attempt is not None:
-                self.rules.closed(connection.attempt, time.monotonic())
+                self.rules.record_connection_end(connection.attempt, time.monotonic())
             connection.transport.abort()
--- a/rosehitch/demo.py
+++ b/rosehitch/demo.py
@@ -19,7 +19,7 @@
 from .backends import Backend
 from .lateness import Lateness
 from .load import CLASSES, FAILED, PLANS, REFUSED, SERVED, Load, Tally
-from .rules import ANSWERS, RULES, Rules
+from .rules import ONE_ANSWER_RULE, RULES, Rules
 
 GATEWAYS, BACKENDS = 3, 6
 DRAIN_S = 1.0  # a gateway may send so long to a backend after it was told that it drains
@@ -126,13 +126,15 @@
         for agent in self._agents:
             agent.whole = True
             at = agent.tell(entry)
-        self._rules.told(self.backends[number].name, at)
+        self._rules.record_backend_leaving(self.backends[number].name, at)
 
     def look(self) -> None:
         """No gateway ends before it is told to."""
         for n, program in enumerate(self.programs):
             if program.process.returncode is not None:
-                self._rules.broke(ANSWERS, f"gateway {n} ended with {program.process.returncode}")
+                self._rules.add_violation(
+                    ONE_ANSWER_RULE, f"gateway {n} ended with {program.process.returncode}"
+                )
 
 
 async def troubles(site: Site, state: State) -> None:
@@ -218,5 +220,5 @@
         show(state)
         if not state.signal:
             site.look()
-        state.rules.close(time.monotonic(), state.lateness.worst_s)
+        state.rules.evaluate(time.monotonic(), state.lateness.worst_s)
         return state
--- a/rosehitch/load.py
+++ b/rosehitch/load.py
@@ -94,7 +94,7 @@
             await asyncio.sleep(0.01)
 
     def close(self) -> None:
-        self._rules.surplus(sum(connections.surplus for connections in self._connections))
+        self._rules.record_unsolicited(sum(connections.surplus for connections in self._connections))
         for connections in self._connections:
             connections.close()
 
@@ -107,14 +107,16 @@
         def done(status: int, body: bytes) -> None:
             now = time.monotonic()
             self._out -= 1
-            self._rules.answered(name, status, body, now)
+            self._rules.record_response(name, status, body, now)
             tally.ends[end_of(status)] += 1
             if status == 200:
                 tally.latency_us.record_value(min(TOP_US, max(1, int((now - due) * 1e6))))
 
         tally.asked += 1
         self._out += 1
-        self._rules.asked(name, f"{customer.number:016x}", customer.plan, safe, time.monotonic() + DEADLINE_S)
+        self._rules.record_request(
+            name, f"{customer.number:016x}", customer.plan, safe, time.monotonic() + DEADLINE_S
+        )
         self._connections[gateway].ask(
             request(
                 customer.number,
--- a/rosehitch/rules.py
+++ b/rosehitch/rules.py
@@ -1,7 +1,7 @@
 """The rules of the protocol, checked from outside: by what clients and backends saw alone.
 
 Every call comes with its time, in seconds of one clock that never goes backwards. What a process on a busy
-machine saw late is allowed for when the rules are judged: `Rules.close` is told how late it ever was.
+machine saw late is allowed for when the rules are judged: `Rules.evaluate` is told how late it ever was.
 """
 
 from __future__ import annotations
@@ -10,18 +10,19 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-ANSWERS = "one final answer each"
-AT_ONCE = "never two attempts of a request at once"
-UNSAFE = "unsafe never twice"
-DRAINS = "nothing new to a backend that was told to drain"
-QUOTAS = "quotas kept within what the plans allow"
-INSIDE = "customers inside their quotas not refused for them"
-RULES = (ANSWERS, AT_ONCE, UNSAFE, DRAINS, QUOTAS, INSIDE)
+ONE_ANSWER_RULE = "one final answer each"
+NO_OVERLAP_RULE = "never two attempts of a request at once"
+UNSAFE_ONCE_RULE = "unsafe never twice"
+DRAIN_RULE = "nothing new to a backend that was told to drain"
+QUOTA_RULE = "quotas kept within what the plans allow"
+WITHIN_QUOTA_RULE = "customers inside their quotas not refused for them"
+RULES = (ONE_ANSWER_RULE, NO_OVERLAP_RULE, UNSAFE_ONCE_RULE, DRAIN_RULE, QUOTA_RULE, WITHIN_QUOTA_RULE)
 
 WIDER_S = 0.05  # every time limit is so much longer on sockets than in the settings
 CEILING_WIDER_S = 0.15  # of its rate, by which the slack of a ceiling is wider on sockets
 ANSWER_LATE_S = 0.5  # past a request's time, up to which an answer only earns nothing
-SEEN_S = 0.05  # so much later the end of a connection may be seen than what was sent after it on another
+# so much later the end of a connection may be seen than what was sent after it on another
+OBSERVATION_DELAY_S = 0.05
 BEYOND_SHARE = 0.1  # of the units sent on, that may go beyond quotas: they are counted by odds, not by rule
 INSIDE_SHARE = 0.1  # of the requests, that may be refused for a quota with half of its store left: as many
 INSIDE_LEFT = 0.5  # of a store: with that left, a customer is inside its quota
@@ -67,7 +68,7 @@
 
 
 class Rules:
-    """What broke, by rule: `broken` once `close` was called. `plans` are the settings' objects, by name.
+    """What broke, by rule: `broken` once `evaluate` was called. `plans` are the settings' objects, by name.
 
     Requests are kept until the end: an attempt may come after the answer.
     """
@@ -88,87 +89,97 @@
             Counter()
         )  # requests refused for a quota with half of its store left, by plan
 
-    def asked(self, name: str, customer: str, plan: str, safe: bool, last_s: float) -> None:
+    def record_request(self, name: str, customer: str, plan: str, safe: bool, last_s: float) -> None:
         self._requests[name] = Request(customer, plan, safe, last_s)
 
-    def answered(self, name: str, status: int, body: bytes, at: float) -> None:
+    def record_response(self, name: str, status: int, body: bytes, at: float) -> None:
         """A client's request came to its end; status 0 is a connection that ended with no whole answer."""
         request = self._requests[name]
         if not status:
-            self.broke(ANSWERS, f"{name} got none: its connection ended")
+            self.add_violation(ONE_ANSWER_RULE, f"{name} got none: its connection ended")
         elif status == 200 and body != request.body:
-            self.broke(ANSWERS, f"{name} was served what no backend made for it")
+            self.add_violation(ONE_ANSWER_RULE, f"{name} was served what no backend made for it")
         elif status in REFUSALS and not request.safe and any(attempt.ran for attempt in request.attempts):
-            self.broke(UNSAFE, f"{name} was refused as harmless to repeat, and may have run")
+            self.add_violation(
+                UNSAFE_ONCE_RULE, f"{name} was refused as harmless to repeat, and may have run"
+            )
         if status == BEYOND_QUOTA:
             self._refused(request, at)
         request.answered = True
-        self._limit(at - request.last_s - ANSWER_LATE_S, ANSWERS, f"{name} was answered too late")
+        self._limit(at - request.last_s - ANSWER_LATE_S, ONE_ANSWER_RULE, f"{name} was answered too late")
 
-    def withdrawn(self, name: str) -> None:
+    def withdraw_request(self, name: str) -> None:
         """Its client has taken a request back that was not read, and sends it once more by another name."""
         self._requests[name].answered = True
 
-    def surplus(self, count: int) -> None:
+    def record_unsolicited(self, count: int) -> None:
         """So often an answer came to which no request was out."""
         if count:
-            self.broke(ANSWERS, f"{count} came with no request out")
+            self.add_violation(ONE_ANSWER_RULE, f"{count} came with no request out")
 
-    def reached(self, name: str, backend: str, began: float, at: float) -> Attempt:
+    def record_attempt(self, name: str, backend: str, began: float, at: float) -> Attempt:
         """An attempt reached a backend: when its first and its last byte came."""
         attempt = Attempt(name, backend, at)
         request = self._requests.get(name)
         if request is None:
-            self.broke(ANSWERS, f"{name} at {backend}: nobody asked for it")
+            self.add_violation(ONE_ANSWER_RULE, f"{name} at {backend}: nobody asked for it")
             return attempt
         if not request.attempts:
             self._draw(request, name, at)
         for before in request.attempts:
             if before.ran and not request.safe:
-                self.broke(UNSAFE, f"{name} at {before.backend}, then at {backend}")
+                self.add_violation(UNSAFE_ONCE_RULE, f"{name} at {before.backend}, then at {backend}")
             if not before.answered and before.closed_at is None:
                 self._twice.append((before, attempt))
         if backend in self._told:
-            self._limit(began - self._told[backend] - self._drain_s - WIDER_S, DRAINS, f"{name} at {backend}")
+            self._limit(
+                began - self._told[backend] - self._drain_s - WIDER_S, DRAIN_RULE, f"{name} at {backend}"
+            )
         request.attempts.append(attempt)
         return attempt
 
-    def served(self, attempt: Attempt, body: bytes) -> None:
+    def record_served(self, attempt: Attempt, body: bytes) -> None:
         attempt.answered = True
         if attempt.request in self._requests:
             self._requests[attempt.request].body = body
 
-    def turned_away(self, attempt: Attempt) -> None:
+    def record_rejected(self, attempt: Attempt) -> None:
         attempt.answered, attempt.ran = True, False
 
-    def closed(self, attempt: Attempt, at: float) -> None:
+    def record_connection_end(self, attempt: Attempt, at: float) -> None:
         """The connection of an attempt ended."""
         if not attempt.answered and attempt.closed_at is None:
             attempt.closed_at = at
 
-    def told(self, backend: str, at: float) -> None:
+    def record_backend_leaving(self, backend: str, at: float) -> None:
         """All gateways were told that a backend drains or is gone."""
         self._told.setdefault(backend, at)
 
-    def close(self, at: float, late_s: float) -> None:
+    def evaluate(self, at: float, late_s: float) -> None:
         """Judge. `late_s`: what was seen may have happened so much earlier, and no more."""
         for name, request in self._requests.items():
             if not request.answered and at > request.last_s + ANSWER_LATE_S + late_s:
-                self.broke(ANSWERS, f"{name} got none")
+                self.add_violation(ONE_ANSWER_RULE, f"{name} got none")
         for over_s, rule, example in self._late:
             if over_s > late_s:
-                self.broke(rule, f"{example}, {over_s:.3f} s over the limit")
+                self.add_violation(rule, f"{example}, {over_s:.3f} s over the limit")
         for plan, units in self.units.items():
             if self.beyond[plan] > BEYOND_SHARE * units:
-                self.broke(QUOTAS, f"{self.beyond[plan]:.1f} of {units} units of {plan} beyond its quotas")
+                self.add_violation(
+                    QUOTA_RULE, f"{self.beyond[plan]:.1f} of {units} units of {plan} beyond its quotas"
+                )
         refused = sum(self.inside.values())
         if refused > INSIDE_SHARE * len(self._requests):
-            self.broke(INSIDE, f"{refused} of {len(self._requests)} requests with half of the store left")
+            self.add_violation(
+                WITHIN_QUOTA_RULE, f"{refused} of {len(self._requests)} requests with half of the store left"
+            )
         for before, attempt in self._twice:
-            if before.closed_at is None or before.closed_at > attempt.at + SEEN_S + late_s:
-                self.broke(AT_ONCE, f"{before.request} at {before.backend} and at {attempt.backend}")
+            if before.closed_at is None or before.closed_at > attempt.at + OBSERVATION_DELAY_S + late_s:
+                self.add_violation(
+                    NO_OVERLAP_RULE, f"{before.request} at {before.backend} and at {attempt.backend}"
+                )
 
-    def broke(self, rule: str, example: str) -> None:
+    def add_violation(self, rule: str, example: str) -> None:
         self.broken[rule] += 1
         self.examples.setdefault(rule, example)
 
@@ -185,7 +196,7 @@
             most = plan["ceilingBurst"]
             store = self._ceilings.setdefault(key, Store(rate, most, most, at))
             short = -store.draw(1.0, at) - plan["tolerance"]
-            self._limit(short / rate - CEILING_WIDER_S, QUOTAS, f"{key}, by {name}")
+            self._limit(short / rate - CEILING_WIDER_S, QUOTA_RULE, f"{key}, by {name}")
 
     def _quota(self, request: Request, at: float) -> Store | None:
         """Of the request's customer, full at first; none where its plan has no quota."""
--- a/rosehitch/soak.py
+++ b/rosehitch/soak.py
@@ -24,7 +24,7 @@
 from .backends import Backend
 from .lateness import Lateness
 from .load import PLANS, Customer
-from .rules import ANSWERS, Rules
+from .rules import ONE_ANSWER_RULE, Rules
 
 GATEWAYS, BACKENDS, SPREAD = 3, 6, 2
 READY_S = 30.0  # for a start: generous, as it only tells a hang
@@ -56,16 +56,16 @@
     """What one run showed."""
 
     seed: int
-    asked: int = 0
+    requests: int = 0
     again: int = 0  # requests sent once more, as their connection ended before they were read
-    ends: dict[int, int] = field(default_factory=dict)  # by status
+    responses: dict[int, int] = field(default_factory=dict)  # by status
     restarts: int = 0
     inside: int = 0  # refused for a quota with half of its store left
     broken: dict[str, tuple[int, str]] = field(default_factory=dict)  # by rule: how often, and the first
 
     def line(self) -> str:
-        ends = ", ".join(f"{count} by {status}" for status, count in sorted(self.ends.items()))
-        text = f"seed {self.seed}: {self.asked} requests, {ends}; {self.again} sent again, "
+        ends = ", ".join(f"{count} by {status}" for status, count in sorted(self.responses.items()))
+        text = f"seed {self.seed}: {self.requests} requests, {ends}; {self.again} sent again, "
         text += f"{self.restarts} restarts, {self.inside} refused inside their quotas; "
         broken = "; ".join(f"broken: {rule}, {n} times: {first}" for rule, (n, first) in self.broken.items())
         return text + (broken or "all rules kept")
@@ -80,12 +80,12 @@
 
     def __call__(self, status: int, body: bytes) -> None:
         now = time.monotonic()
-        self._soak.rules.answered(self.name, status, body, now)
-        self._soak.report.ends[status] = self._soak.report.ends.get(status, 0) + 1
+        self._soak.rules.record_response(self.name, status, body, now)
+        self._soak.report.responses[status] = self._soak.report.responses.get(status, 0) + 1
 
     def again(self) -> None:
         """Its connection ended before it was read, or was refused: its client sends it once more."""
-        self._soak.rules.withdrawn(self.name)
+        self._soak.rules.withdraw_request(self.name)
         self._soak.report.again += 1
         self._soak.send(self)
 
@@ -174,7 +174,7 @@
         await program.start()
         self._stack.push_async_callback(program.end)
         if await program.ready(READY_S) is None:
-            self.rules.broke(ANSWERS, f"gateway {me} was not ready: {program.told()}")
+            self.rules.add_violation(ONE_ANSWER_RULE, f"gateway {me} was not ready: {program.told()}")
         self._programs[me], self._closing_at[me] = program, float("inf")
         self._lives[me] = Life(program.address)
 
@@ -186,7 +186,7 @@
         while (due := due + self.random.expovariate(RATE_PER_S)) < end:
             await asyncio.sleep(max(0.0, due - time.monotonic()))
             customer, safe = self.random.choice(CUSTOMERS), self.random.random() < 0.6
-            self.report.asked += 1
+            self.report.requests += 1
             self.send(Request(self, customer, safe, time.monotonic() + self.deadline_s))
 
     def send(self, asked: Request) -> None:
@@ -202,7 +202,9 @@
         text = request(
             customer.number, customer.plan, kind, asked.safe, asked.name, SPREAD, customer.first, left_s
         )
-        self.rules.asked(asked.name, f"{customer.number:016x}", customer.plan, asked.safe, asked.last_s)
+        self.rules.record_request(
+            asked.name, f"{customer.number:016x}", customer.plan, asked.safe, asked.last_s
+        )
         for me in turns:
             if self._lives[me] is not None and self._lives[me].ask(text, asked):
                 return
@@ -210,7 +212,7 @@
             if self._lives[me] is not None and time.monotonic() < self._closing_at[me]:
                 self._lives[me].ask_anew(text, asked)
                 return
-        self.rules.withdrawn(asked.name)  # no gateway of its set runs
+        self.rules.withdraw_request(asked.name)  # no gateway of its set runs
 
     # Troubles.
 
@@ -230,7 +232,7 @@
         for agent in self._agents:
             agent.whole = True
             at = agent.tell(entry)
-        self.rules.told(self._backends[number].name, at)
+        self.rules.record_backend_leaving(self._backends[number].name, at)
 
     async def _signal(self, me: int) -> None:
         """A series of signals; where it ends the gateway, another process follows it."""
@@ -259,9 +261,9 @@
         try:
             code = await asyncio.wait_for(program.process.wait(), left_s)
             if code != 0:
-                self.rules.broke(ANSWERS, f"gateway {me} ended with {code}: {program.told()}")
+                self.rules.add_violation(ONE_ANSWER_RULE, f"gateway {me} ended with {code}: {program.told()}")
         except TimeoutError:
-            self.rules.broke(ANSWERS, f"gateway {me} had to be killed")
+            self.rules.add_violation(ONE_ANSWER_RULE, f"gateway {me} had to be killed")
             await program.end()
 
     def _crowd(self, where: tuple[str, int]) -> list[socket.socket]:
@@ -294,7 +296,7 @@
         for error in ended:
             if isinstance(error, Exception):
                 raise error
-        soak.rules.close(time.monotonic(), lateness.worst_s)
+        soak.rules.evaluate(time.monotonic(), lateness.worst_s)
         soak.report.inside = sum(soak.rules.inside.values())
         counts, examples = soak.rules.broken, soak.rules.examples
         soak.report.broken = {rule: (counts[rule], examples[rule]) for rule in counts}
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -22,8 +22,8 @@
 
 
 def message(method=b"GET", target=TARGET, body=b"", **headers):
-    out = checks.Message()
-    out.method, out.target, out.body, out.came = method, target, body, 5000.0
+    out = checks.HttpRequest()
+    out.method, out.target, out.body, out.received_at_ms = method, target, body, 5000.0
     fields = {
         "host": b"h",
         "x-request-id": b"9b1f03aa5c7e2d41",
@@ -38,7 +38,7 @@
 
 
 def test_a_deadline_counts_from_when_the_request_came_not_from_its_turn():
-    assert checks.arrived(message(x_retried=b"1"), SETTINGS) == io.RequestArrived(
+    assert checks.parse_request(message(x_retried=b"1"), SETTINGS) == io.RequestArrived(
         "", CUSTOMER, "p", "read", 5480.0, 2.0, 1, 3, is_retry=True
     )
 
@@ -57,7 +57,7 @@
     ],
 )
 def test_what_usual_clients_send_is_taken(good):
-    assert checks.arrived(message(**good), SETTINGS).customer == CUSTOMER
+    assert checks.parse_request(message(**good), SETTINGS).customer == CUSTOMER
 
 
 BAD = [
@@ -112,5 +112,5 @@
 @pytest.mark.parametrize("bad,status", BAD)
 def test_what_no_usual_client_sends_is_turned_down(bad, status):
     with pytest.raises(checks.RequestError) as caught:
-        checks.arrived(message(**bad), SETTINGS)
+        checks.parse_request(message(**bad), SETTINGS)
     assert caught.value.status == status
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -5,21 +5,35 @@
 import errno
 
 import pytest
-from world import CLASSES, CUSTOMER, Backend, Hold, World, named, ok, request, run, status, until
+from world import (
+    CLASSES,
+    CUSTOMER,
+    Backend,
+    HeldReply,
+    World,
+    reply_ok,
+    reply_status,
+    request,
+    request_id,
+    run,
+    wait_until,
+)
 
 from elderhub import clients
 
 
 def test_a_request_is_passed_on_and_its_answer_comes_back_unchanged():
     async def scene():
-        backend = Backend(ok(b"\x00beds\xff", b"Content-Type: text/x\r\nX-Server-Load: queue=2\r\n"))
+        backend = Backend(reply_ok(b"\x00beds\xff", b"Content-Type: text/x\r\nX-Server-Load: queue=2\r\n"))
         async with World({"b1": backend}) as w:
             answer = await w.call(request("hold", body=b"two nights", name="id-1", Accept_Language="no"))
             assert (answer.status, answer.body) == (200, b"\x00beds\xff")
             assert answer.headers["content-type"] == "text/x" and "x-server-load" not in answer.headers
-            seen = backend.seen[0]
+            seen = backend.requests[0]
             assert (seen.method, seen.target, seen.body) == ("POST", f"/api/{CUSTOMER}?q=1", b"two nights")
-            assert seen.headers["x-request-id"] == named("id-1") and seen.headers["idempotency-key"] == "k1"
+            assert (
+                seen.headers["x-request-id"] == request_id("id-1") and seen.headers["idempotency-key"] == "k1"
+            )
             assert seen.headers["accept-language"] == "no" and 0 < float(seen.headers["x-timeout"]) <= 8.0
 
     run(scene)
@@ -71,7 +85,7 @@
         async with World({"b1": backend}) as w:
             for name, (data, code) in BAD.items():
                 assert (await w.call(data)).status == code, name
-            assert not backend.seen
+            assert not backend.requests
             assert (await w.call(request())).status == 200  # and the gateway serves on
             assert "Traceback" not in w.log.read_text()
 
@@ -95,9 +109,9 @@
         async with World({"b1": Backend()}) as w:
             client = await w.connect()
             client.send(request("hold", body=b"x" * 5_000_000))
-            assert (await client.answer()).status == 413
+            assert (await client.read_response()).status == 413
             await client.writer.drain()
-            assert await client.ended()
+            assert await client.closed_by_peer()
 
     run(scene)
 
@@ -109,8 +123,10 @@
             data = request("hold", Content_Length=None, Transfer_Encoding="chunked")
             data += b"3\r\ntwo\r\n7\r\n nights\r\n0\r\nPlan: other\r\nX-Late: 1\r\n\r\n"
             assert (await w.call(data)).status == 200
-            assert backend.seen[0].body == b"two nights"
-            assert backend.seen[0].headers["plan"] == "free" and "x-late" not in backend.seen[0].headers
+            assert backend.requests[0].body == b"two nights"
+            assert (
+                backend.requests[0].headers["plan"] == "free" and "x-late" not in backend.requests[0].headers
+            )
 
     run(scene)
 
@@ -121,10 +137,10 @@
         async with World({"b1": backend}) as w:
             client = await w.connect()
             client.send(request(Connection="Upgrade", Upgrade="h2c") + b"PRI * HTTP/2.0")
-            answer = await client.answer()
+            answer = await client.read_response()
             assert (answer.status, answer.headers["connection"]) == (200, "close")
-            assert await client.ended()
-            assert "upgrade" not in backend.seen[0].headers
+            assert await client.closed_by_peer()
+            assert "upgrade" not in backend.requests[0].headers
 
     run(scene)
 
@@ -132,16 +148,16 @@
 def test_pipelined_requests_are_answered_in_order():
     async def scene():
         async def echo(seen, writer):
-            await ok(seen.headers["x-request-id"].encode())(seen, writer)
+            await reply_ok(seen.headers["x-request-id"].encode())(seen, writer)
 
         async with World({"b1": Backend(echo)}) as w:
             client = await w.connect()
             client.send(b"".join(request(name=f"r{i}") for i in range(4)) + b"nonsense\r\n\r\n")
-            assert [(await client.answer()).body for _ in range(4)] == [
-                named(f"r{i}").encode() for i in range(4)
+            assert [(await client.read_response()).body for _ in range(4)] == [
+                request_id(f"r{i}").encode() for i in range(4)
             ]
-            assert (await client.answer()).status == 400  # after the answers before it
-            assert await client.ended()
+            assert (await client.read_response()).status == 400  # after the answers before it
+            assert await client.closed_by_peer()
 
     run(scene)
 
@@ -154,12 +170,12 @@
                 client.send(bytes([byte]))
                 await client.writer.drain()
                 await asyncio.sleep(0)
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
 
     run(scene)
 
 
-SHORT = "clients.BOUND_S = 0.3"
+SHORT = "clients.REQUEST_READ_TIMEOUT_S = 0.3"
 
 
 @pytest.mark.parametrize(
@@ -171,8 +187,8 @@
         async with World({"b1": Backend()}, patch=SHORT) as w:
             client = await w.connect()
             client.send(part)
-            assert (await client.answer()).status == 408
-            assert await client.ended()
+            assert (await client.read_response()).status == 408
+            assert await client.closed_by_peer()
 
     run(scene)
 
@@ -182,12 +198,12 @@
         async with World({"b1": Backend()}, patch=SHORT) as w:
             silent, usual = await w.connect(), await w.connect()
             usual.send(request())
-            assert (await usual.answer()).status == 200
-            assert await silent.ended()
+            assert (await usual.read_response()).status == 200
+            assert await silent.closed_by_peer()
             later = await w.connect()
-            assert await later.ended()
+            assert await later.closed_by_peer()
             usual.send(request())
-            assert (await usual.answer()).status == 200
+            assert (await usual.read_response()).status == 200
 
     run(scene)
 
@@ -201,23 +217,23 @@
             codes = []
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                 while True:
-                    codes.append((await client.answer()).status)
-            assert codes == [200] * (len(codes) - 1) + [429] and len(backend.seen) == len(codes) - 1
-            assert 1 < len(codes) <= 2 * clients.QUEUE_MOST
+                    codes.append((await client.read_response()).status)
+            assert codes == [200] * (len(codes) - 1) + [429] and len(backend.requests) == len(codes) - 1
+            assert 1 < len(codes) <= 2 * clients.MAX_QUEUED_REQUESTS
 
     run(scene)
 
 
 def test_a_client_that_leaves_ends_its_attempt_and_the_next_is_served():
     async def scene():
-        hold = Hold()
+        hold = HeldReply()
         backend = Backend(hold)
         async with World({"b1": backend}) as w:
             client = await w.connect()
             client.send(request())
             await hold.reached.wait()
             client.writer.close()
-            await until(lambda: backend.writers[0].is_closing() or backend.readers[0].at_eof())
+            await wait_until(lambda: backend.writers[0].is_closing() or backend.readers[0].at_eof())
             hold.release.set()
             assert (await w.call(request(name="r2"))).status == 200
             assert "Traceback" not in w.log.read_text()
@@ -227,7 +243,7 @@
 
 def test_an_id_that_is_in_use_is_turned_down_and_free_again_when_its_request_is_over():
     async def scene():
-        hold = Hold()
+        hold = HeldReply()
         backend = Backend(hold)
         async with World({"b1": backend}) as w:
             first = asyncio.create_task(w.call(request(name="r1")))
@@ -236,7 +252,7 @@
             hold.release.set()
             assert (await first).status == 200
             assert (await w.call(request(name="r1"))).status == 200
-            assert len(backend.seen) == 2
+            assert len(backend.requests) == 2
 
     run(scene)
 
@@ -250,16 +266,16 @@
         async with World({"b1": Backend()}) as w:
             client = await w.connect()
             client.send(request(**header).replace(b"HTTP/1.1", b"HTTP/" + version))
-            assert (await client.answer()).headers.get("connection") == (None if lasts else "close")
+            assert (await client.read_response()).headers.get("connection") == (None if lasts else "close")
             if not lasts:
-                assert await client.ended()
+                assert await client.closed_by_peer()
 
     run(scene)
 
 
 def test_a_failure_of_every_backend_is_no_refusal_for_what_may_have_run():
     async def scene():
-        async with World({"b1": Backend(status(500))}) as w:
+        async with World({"b1": Backend(reply_status(500))}) as w:
             assert (await w.call(request("pay"))).status == 502
 
     run(scene)
@@ -268,11 +284,11 @@
 def test_a_flood_of_silent_connections_pushes_out_its_own_and_nobody_else():
     async def scene():
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 128}
-        async with World({"b1": Backend()}, limits=limits, patch="clients.IDLE_S = 1000.0") as w:
-            usual, hold = [await w.connect() for _ in range(12)], Hold()
+        async with World({"b1": Backend()}, limits=limits, patch="clients.EVICTABLE_IDLE_S = 1000.0") as w:
+            usual, hold = [await w.connect() for _ in range(12)], HeldReply()
             for client in usual:
                 client.send(request())
-                assert (await client.answer()).status == 200
+                assert (await client.read_response()).status == 200
             w.backends["b1"].reply = hold
             usual[0].send(request())
             await hold.reached.wait()
@@ -284,8 +300,8 @@
             hold.release.set()
             for client in usual[1:]:
                 client.send(request())
-                assert (await client.answer()).status == 200
-            assert (await usual[0].answer()).status == 200
+                assert (await client.read_response()).status == 200
+            assert (await usual[0].read_response()).status == 200
             assert (await w.call(request())).status == 200
             await asyncio.gather(*ended, return_exceptions=True)
 
@@ -335,7 +351,7 @@
     return accept(self)
 clients.socket.socket = type("Failing", (socket.socket,), {{"accept": failing}})
 clients.socket.create_server = listening
-clients.IDLE_S = {idle_s}"""
+clients.EVICTABLE_IDLE_S = {idle_s}"""
 )
 ACCEPT_ERRORS = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO, errno.EINTR]
 
@@ -358,7 +374,7 @@
         async with world as w:
             client, data = await w.connect(), request()
             client.send(data)
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
             data = request()
             client.send(data[:60])
             await asyncio.sleep(0.05)
@@ -366,7 +382,7 @@
             assert (await w.call(request())).status == 200  # its connection is taken after a failure
             assert not flag.exists()
             client.send(data[60:])
-            assert (await client.answer()).status in (200, 503)
+            assert (await client.read_response()).status in (200, 503)
 
     run(scene)
 
@@ -379,14 +395,14 @@
             client = await w.connect()
             for _ in range(2):  # the connection is idle
                 client.send(request())
-                assert (await client.answer()).status == 200
+                assert (await client.read_response()).status == 200
             flag.touch()
             other = asyncio.create_task(w.call(request()))
-            await until(
+            await wait_until(
                 lambda: not flag.exists()
             )  # the gateway stands still in accept, which is about to fail
             client.send(request())
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
             assert (await other).status == 200
 
     run(scene)
@@ -395,24 +411,24 @@
 def test_where_connections_run_short_a_first_answer_ends_its_connection_and_those_in_use_stay():
     async def scene():
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 128}
-        async with World({"b1": Backend()}, limits=limits, patch="clients.IDLE_S = 1000.0") as w:
+        async with World({"b1": Backend()}, limits=limits, patch="clients.EVICTABLE_IDLE_S = 1000.0") as w:
             usual = await w.connect()
             for _ in range(2):
                 usual.send(request())
-                assert "connection" not in (await usual.answer()).headers
+                assert "connection" not in (await usual.read_response()).headers
             ended, stayed = 0, []
             for _ in range(40):  # of clients that ask once and stay
                 client = await w.connect()
                 stayed.append(client)
                 client.send(request())
-                answer = await client.answer()
+                answer = await client.read_response()
                 assert answer.status == 200
                 if answer.headers.get("connection") == "close":
-                    assert await client.ended()
+                    assert await client.closed_by_peer()
                     ended += 1
             assert 20 <= ended < 40
             usual.send(request())
-            assert "connection" not in (await usual.answer()).headers
+            assert "connection" not in (await usual.read_response()).headers
 
     run(scene)
 
@@ -420,24 +436,24 @@
 def test_where_connections_run_short_those_that_stood_idle_longest_are_closed():
     async def scene():
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 128}
-        async with World({"b1": Backend()}, limits=limits, patch="clients.IDLE_S = 0.3") as w:
+        async with World({"b1": Backend()}, limits=limits, patch="clients.EVICTABLE_IDLE_S = 0.3") as w:
             stayed = []
             for _ in range(40):
                 client = await w.connect()
                 stayed.append(client)
                 client.send(request() + request())
-                assert [(await client.answer()).status for _ in range(2)] == [200, 200]
-            gone = [asyncio.create_task(client.ended()) for client in stayed[:10]]
+                assert [(await client.read_response()).status for _ in range(2)] == [200, 200]
+            gone = [asyncio.create_task(client.closed_by_peer()) for client in stayed[:10]]
             assert await asyncio.gather(*gone) == [True] * 10
             stayed[-1].send(request())
-            assert (await stayed[-1].answer()).status == 200
+            assert (await stayed[-1].read_response()).status == 200
 
     run(scene)
 
 
 def test_an_answer_comes_before_the_clients_time_is_up():
     async def scene():
-        async with World({"b1": Backend(Hold())}) as w:
+        async with World({"b1": Backend(HeldReply())}) as w:
             answer = await w.call(request("pay", X_Timeout="0.3"))
             assert answer.status == 502  # it may have run, so it is no refusal
             answer = await w.call(request(X_Timeout="0.3"))
@@ -454,17 +470,20 @@
 def test_a_client_that_leaves_with_requests_waiting_behind_one_another_is_noticed(more):
     # Reading has to go on while they wait their turn, or none of it would be called off.
     async def scene():
-        hold = Hold()
+        hold = HeldReply()
         backend = Backend(hold)
-        async with World({"b1": backend}, changes=PATIENT) as w:
+        async with World({"b1": backend}, settings_changes=PATIENT) as w:
             client = await w.connect()
             client.send(b"".join(request(name=f"r{i}", X_Timeout="120") for i in range(1 + more)))
             await hold.reached.wait()
             client.writer.transport.abort()
-            await until(lambda: backend.readers[0].at_eof())  # the first one is called off
+            await wait_until(lambda: backend.readers[0].at_eof())  # the first one is called off
             hold.release.set()
             assert (await w.call(request(name="next"))).status == 200
-            assert [seen.headers["x-request-id"] for seen in backend.seen] == [named("r0"), named("next")]
+            assert [seen.headers["x-request-id"] for seen in backend.requests] == [
+                request_id("r0"),
+                request_id("next"),
+            ]
             assert "Traceback" not in w.log.read_text()
 
     run(scene)
@@ -472,7 +491,7 @@
 
 def test_what_is_read_ahead_is_bounded_in_bytes_and_still_answered_in_order():
     async def scene():
-        hold = Hold()
+        hold = HeldReply()
         backend = Backend(hold)
         async with World({"b1": backend}) as w:
             client = await w.connect()
@@ -485,22 +504,22 @@
             codes = []
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                 while True:
-                    codes.append((await client.answer()).status)
-            assert codes == [200] * len(backend.seen) + [429] and len(codes) < 12
+                    codes.append((await client.read_response()).status)
+            assert codes == [200] * len(backend.requests) + [429] and len(codes) < 12
 
     run(scene)
 
 
 def test_a_client_that_floods_behind_a_request_is_cut_off_and_its_request_called_off():
     async def scene():
-        hold = Hold()
+        hold = HeldReply()
         backend = Backend(hold)
-        async with World({"b1": backend}, changes=PATIENT) as w:
+        async with World({"b1": backend}, settings_changes=PATIENT) as w:
             client = await w.connect()
             client.send(request("hold", name="r0", X_Timeout="120"))
             await hold.reached.wait()
-            client.send(b"\x00" * (clients.LINGER_MOST + (4 << 20)))
-            await until(lambda: backend.readers[0].at_eof())
+            client.send(b"\x00" * (clients.MAX_LINGER_BYTES + (4 << 20)))
+            await wait_until(lambda: backend.readers[0].at_eof())
             hold.release.set()
             assert (await w.call(request(name="next"))).status == 200
 
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -112,7 +112,7 @@
     patch = (
         "from elderhub import checks, clients\n"
         "def made_up(*_):\n    raise checks.RequestError(200, 'made up')\n"
-        "checks.arrived = clients.arrived = made_up\n"
+        "checks.parse_request = clients.parse_request = made_up\n"
     )
     process = demo(tmp_path, "--seconds", "3", patch=patch)
     out, _ = process.communicate(timeout=LIMIT_S)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -7,7 +7,7 @@
 import pytest
 from world import ROOT, settings
 
-from elderhub.config import ConfigError, load
+from elderhub.config import ConfigError, load_config
 
 
 def told(**changes):
@@ -33,7 +33,7 @@
 def loaded(tmp_path, what, **environ):
     path = tmp_path / "config.json"
     path.write_text(what if isinstance(what, str) else json.dumps(what))
-    return load({"NODE_CONFIG": str(path), **environ})
+    return load_config({"NODE_CONFIG": str(path), **environ})
 
 
 def test_everything_is_read(tmp_path):
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -4,36 +4,36 @@
 import time
 
 import pytest
-from world import HOST, Backend, Counter, World, free_port, request, run, until
+from world import HOST, Backend, Counter, World, free_port, request, run, wait_until
 
 from cobaltline import interface as io
 from elderhub import counter as counting
 
 
 class Caller:
-    """A `Counter` of the program's in this process, and what it told."""
+    """A `CounterClient` of the program's in this process, and what it told."""
 
     def __init__(self, port, wait_ms=20000.0, host="127.0.0.1"):
         self.told = []
-        self.counter = counting.Counter((host, port), wait_ms, self.told.append)
+        self.counter = counting.CounterClient((host, port), wait_ms, self.told.append)
         self.counter.start()
 
     def call(self, *names):
         for name in names:
-            self.counter.count(io.CounterAdd(name, 1.0, 4000.0))
+            self.counter.add(io.CounterAdd(name, 1.0, 4000.0))
 
     async def outcomes(self, count=1):
-        await until(lambda: len(self.told) >= count)
+        await wait_until(lambda: len(self.told) >= count)
         assert len(self.told) == count
         return [x.outcome for x in self.told]
 
     async def up(self):
-        await until(lambda: all(link._transport for link in self.counter._links))
+        await wait_until(lambda: all(link._transport for link in self.counter._links))
 
 
 @pytest.fixture(autouse=True)
 def one_link(monkeypatch):
-    monkeypatch.setattr(counting, "LINKS", 1)
+    monkeypatch.setattr(counting, "CONNECTION_COUNT", 1)
 
 
 def test_calls_are_written_one_behind_another_and_answered_in_order():
@@ -83,7 +83,7 @@
         caller.call("a")
         assert await caller.outcomes() == [outcome]
         assert caller.told[0].total == total
-        await until(lambda: total is not None or counter.connections == 2)
+        await wait_until(lambda: total is not None or counter.connections == 2)
         counter.answer = None
         await caller.up()
         caller.call("b")
@@ -141,7 +141,7 @@
         caller.call("a", "b")
         assert await caller.outcomes(2) == [io.Outcome.RESET] * 2
         counter.answer = None
-        await until(lambda: counter.connections == 2)
+        await wait_until(lambda: counter.connections == 2)
         await caller.up()
         caller.call("c")
         assert (await caller.outcomes(3))[2] == io.Outcome.OK
@@ -150,7 +150,7 @@
 
 
 def test_a_connection_that_did_well_until_it_broke_is_made_anew_at_once_and_calls_wait_for_it(monkeypatch):
-    monkeypatch.setattr(counting, "BACKOFF_S", 1000.0)
+    monkeypatch.setattr(counting, "RECONNECT_DELAY_S", 1000.0)
 
     async def scene():
         counter = await Counter().start()
@@ -159,7 +159,7 @@
         caller.call("a")
         assert await caller.outcomes() == [io.Outcome.OK]
         counter.writers[0].transport.abort()
-        await until(lambda: not caller.counter._links[0].up() or counter.connections == 2)
+        await wait_until(lambda: not caller.counter._links[0].up() or counter.connections == 2)
         caller.call("b")
         assert await caller.outcomes(2) == [io.Outcome.OK] * 2
 
@@ -187,9 +187,9 @@
         counter = await Counter().start()
         caller = Caller(counter.port)
         await caller.up()
-        await until(lambda: counter.writers)
+        await wait_until(lambda: counter.writers)
         counter.writers[0].close()
-        await until(lambda: counter.connections == 2)
+        await wait_until(lambda: counter.connections == 2)
         await caller.up()
         caller.call("a")
         assert await caller.outcomes() == [io.Outcome.OK]
@@ -198,13 +198,13 @@
 
 
 def test_a_quiet_connection_is_kept_up_by_pings(monkeypatch):
-    monkeypatch.setattr(counting, "QUIET_S", 0.02)
-    monkeypatch.setattr(counting, "TICK_S", 0.01)
+    monkeypatch.setattr(counting, "PING_AFTER_S", 0.02)
+    monkeypatch.setattr(counting, "TICK_INTERVAL_S", 0.01)
 
     async def scene():
         counter = await Counter().start()
         caller = Caller(counter.port)
-        await until(lambda: counter.lines.count(b"ping\r\n") >= 3)
+        await wait_until(lambda: counter.lines.count(b"ping\r\n") >= 3)
         caller.call("a")
         assert await caller.outcomes() == [io.Outcome.OK]
         assert counter.connections == 1
@@ -213,8 +213,8 @@
 
 
 def test_a_connection_that_fell_silent_is_cut_and_made_anew(monkeypatch):
-    monkeypatch.setattr(counting, "DEAD_S", 0.1)
-    monkeypatch.setattr(counting, "TICK_S", 0.02)
+    monkeypatch.setattr(counting, "SILENCE_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(counting, "TICK_INTERVAL_S", 0.02)
 
     async def scene():
         counter = await Counter().start()
@@ -223,7 +223,7 @@
         await caller.up()
         caller.call("a")
         assert await caller.outcomes() == [io.Outcome.TIMEOUT]
-        await until(lambda: counter.connections == 2)
+        await wait_until(lambda: counter.connections == 2)
 
     run(scene)
 
@@ -254,7 +254,7 @@
 def test_the_gateway_serves_with_no_counter_at_all():
     async def scene():
         changes = {"familyInfo": {"countWaitMs": 30.0}}
-        async with World({"b1": Backend()}, changes=changes) as w:
+        async with World({"b1": Backend()}, settings_changes=changes) as w:
             w.counter.server.close()
             for writer in w.counter.writers:
                 writer.transport.abort()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -6,7 +6,7 @@
 
 import pytest
 from helpers import GatewayHarness, final_answers, of_type
-from world import ENDS, Backend, Hold, World, request, run, until
+from world import DISCONNECT_ERRORS, Backend, HeldReply, World, request, run, wait_until
 
 from cobaltline import interface as io
 
@@ -25,7 +25,7 @@
     async def _idle(self, i):
         says = (b"", b"GET /api/", request())[i % 3]
         while True:
-            with contextlib.suppress(*ENDS[:2]):
+            with contextlib.suppress(*DISCONNECT_ERRORS[:2]):
                 client = await self._world.connect()
                 try:
                     client.send(says)
@@ -82,11 +82,11 @@
     async def scene():
         backends = {f"b{i}": Backend() for i in range(8)}
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS}
-        async with World(backends, limits=limits, patch=FEW, changes={"discovery": ask}) as w:
+        async with World(backends, limits=limits, patch=FEW, settings_changes={"discovery": ask}) as w:
             assert (await w.call(request(plan="basic"))).status == 200
             await down(w)
             idlers = Idlers(w, 150)
-            holds = [Hold() for _ in backends]  # as many requests out as the gateway begins with
+            holds = [HeldReply() for _ in backends]  # as many requests out as the gateway begins with
             for backend, hold in zip(backends.values(), holds, strict=True):
                 backend.reply = hold
             calls = [asyncio.create_task(w.call(request())) for _ in range(24)]
@@ -102,14 +102,14 @@
             lines, heard = len(w.counter.lines), len(w.discovery.targets)
             async with asyncio.timeout(IN_TIME_S):
                 await up(w)
-                await until(lambda: len(w.discovery.targets) > heard)
+                await wait_until(lambda: len(w.discovery.targets) > heard)
                 await asyncio.sleep(0.3)  # the drain is heard
-                seen = len(b0.seen)
+                seen = len(b0.requests)
                 while len(w.counter.lines) == lines:
                     await w.call(request(plan="basic", customer="0000000000000007"))
             async with asyncio.timeout(20.0):
                 assert [(await w.call(request())).status for _ in range(40)] == [200] * 40
             idlers.stop()
-            assert len(b0.seen) == seen and b0.ended == b0.connections
+            assert len(b0.requests) == seen and b0.closed_connections == b0.connections
 
     run(scene)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -7,12 +7,12 @@
 import pytest
 from test_config import loaded
 from test_config import told as configured
-from world import Backend, Discovery, World, ok, request, run, until
+from world import Backend, Discovery, World, reply_ok, request, run, wait_until
 
 from cobaltline import interface as io
 from elderhub import discovery as watching
 from elderhub import host
-from elderhub.lists import Reader
+from elderhub.lists import ListReader
 from emulator import virtual
 
 
@@ -35,7 +35,7 @@
 
 
 def test_a_list_is_read_and_what_is_malformed_in_it_passed_over():
-    found = watching.listing(ODD)
+    found = watching.parse_listing(ODD)
     assert found.event == io.BackendsChanged(
         io.ListKind.CACHED,
         7,
@@ -69,24 +69,24 @@
 
 def take(discovery, *lists):
     """All work on lists that came over its watch, one after the other."""
-    reader = Reader()
+    reader = ListReader()
     for one in lists:
         reader.feed(json.dumps(one).encode() + b"\n")
-        while discovery._take(reader):
+        while discovery._take_slice(reader):
             pass
 
 
 def heard(*lists, version=0):
     """What is told of lists."""
     told = []
-    take(watching.Discovery(("127.0.0.1", 1), version, told.append), *lists)
+    take(watching.DiscoveryClient(("127.0.0.1", 1), version, told.append), *lists)
     return told
 
 
 class Watcher:
     def __init__(self, where, version=0):
         self.told = []
-        self.watch = watching.Discovery(("127.0.0.1", where.port), version, self.told.append)
+        self.watch = watching.DiscoveryClient(("127.0.0.1", where.port), version, self.told.append)
         self.watch.start()
 
 
@@ -95,12 +95,12 @@
         agent = await Discovery().start()
         agent.generation = 41
         watcher = Watcher(agent, 40)
-        await until(lambda: len(watcher.told) == 1)
-        agent.tell(agent.entry("a", 5))
-        await until(lambda: len(watcher.told) == 2)
+        await wait_until(lambda: len(watcher.told) == 1)
+        agent.publish(agent.entry("a", 5))
+        await wait_until(lambda: len(watcher.told) == 2)
         assert watcher.told[1].event.kind is io.ListKind.DELTA
         agent.writers[0].transport.abort()
-        await until(lambda: len(agent.targets) == 2)
+        await wait_until(lambda: len(agent.targets) == 2)
         assert agent.targets == ["/v1/servers?watch=1&after=40", "/v1/servers?watch=1&after=42"]
         watcher.watch.stop()
 
@@ -109,25 +109,26 @@
 
 def test_a_watch_that_fell_silent_is_begun_anew(monkeypatch):
     # A machine that vanished leaves its connection open: only the missing heartbeat tells.
-    monkeypatch.setattr(watching, "SILENT_S", 0.3)
+    monkeypatch.setattr(watching, "WATCH_SILENCE_TIMEOUT_S", 0.3)
 
     async def scene():
         agent = await Discovery().start()
-        agent.beats = False
+        agent.sends_heartbeats = False
         watcher = Watcher(agent)
-        await until(lambda: len(agent.targets) >= 3)
+        await wait_until(lambda: len(agent.targets) >= 3)
         watcher.watch.stop()
 
     run(scene)
 
 
 def test_heartbeats_keep_a_watch(monkeypatch):
-    monkeypatch.setattr(watching, "SILENT_S", 3.0)
+    monkeypatch.setattr(watching, "WATCH_SILENCE_TIMEOUT_S", 3.0)
 
     async def scene():
         agent = await Discovery().start()
         watcher = Watcher(agent)
-        await until(lambda: agent.sent_beats >= 5)  # one a second: far longer than the silence allowed
+        # one a second: far longer than the silence allowed
+        await wait_until(lambda: agent.heartbeats_sent >= 5)
         assert len(agent.targets) == 1
         watcher.watch.stop()
 
@@ -154,9 +155,9 @@
             writer.close()
 
         server = await asyncio.start_server(odd, "127.0.0.1", 0)
-        watcher = watching.Discovery(server.sockets[0].getsockname(), 0, lambda found: None)
+        watcher = watching.DiscoveryClient(server.sockets[0].getsockname(), 0, lambda found: None)
         watcher.start()
-        await until(lambda: len(tries) >= 2)
+        await wait_until(lambda: len(tries) >= 2)
         assert not watcher._task.done()
         watcher.stop()
         server.close()
@@ -168,7 +169,7 @@
     async def scene():
         backend = Backend()
         await backend.start()
-        world = World({}, patch="main.FIRST_LIST_S = 0.2; discovery.SILENT_S = 0.2")
+        world = World({}, patch="main.FIRST_LIST_TIMEOUT_S = 0.2; discovery.WATCH_SILENCE_TIMEOUT_S = 0.2")
         world.discovery.mute = True
         world.known = {"generation": 3, "instances": [world.discovery.entry("b1", backend.port)]}
         async with world as w:
@@ -179,12 +180,12 @@
 
 def test_a_whole_list_replaces_the_one_before():
     async def scene():
-        old, new = Backend(ok(b"old")), Backend(ok(b"new"))
+        old, new = Backend(reply_ok(b"old")), Backend(reply_ok(b"new"))
         async with World({"b1": old}) as w:
             await new.start()
             assert (await w.call(request())).body == b"old"
-            w.discovery.tell(w.discovery.entry("b2", new.port), reset=True)
-            await until(lambda: old.ended == 1)
+            w.discovery.publish(w.discovery.entry("b2", new.port), reset=True)
+            await wait_until(lambda: old.closed_connections == 1)
             assert [(await w.call(request())).body for _ in range(4)] == [b"new"] * 4
             new.server.close()
 
@@ -195,13 +196,13 @@
     async def scene():
         backend = Backend()
         await backend.start()
-        world = World({}, waits=False)
+        world = World({}, waits_until_ready=False)
         async with world as w:
-            await until(lambda: w.discovery.targets)
+            await wait_until(lambda: w.discovery.targets)
             while (code := await w.health()) is None:
                 await asyncio.sleep(0.02)
             assert code == 503
-            w.discovery.tell(w.discovery.entry("b1", backend.port))
+            w.discovery.publish(w.discovery.entry("b1", backend.port))
             while await w.health() != 200:
                 await asyncio.sleep(0.02)
             assert (await w.call(request())).status == 200
@@ -211,8 +212,8 @@
 
 def paused(**options):
     """The first pauses of a watch that is turned away at once again and again, after one with a list."""
-    discovery = watching.Discovery(("127.0.0.1", 1), 0, lambda found: None, **options)
-    return [discovery._pause(heard, 0.0) for heard in (True, False, False, False, False)]
+    discovery = watching.DiscoveryClient(("127.0.0.1", 1), 0, lambda found: None, **options)
+    return [discovery._retry_delay_s(heard, 0.0) for heard in (True, False, False, False, False)]
 
 
 @pytest.mark.parametrize("ask_every_s", [10.0, 60.0])
@@ -229,10 +230,10 @@
 
 def test_watches_that_fell_silent_together_come_back_apart():
     async def scene():
-        fleet = [watching.Discovery(("127.0.0.1", 1), 0, lambda found: None, 10.0) for _ in range(400)]
-        for silent_s in (watching.SILENT_S, watching.WAIT_S):
-            most = watching.NEXT_S - silent_s
-            tenths = [int(10 * discovery._pause(False, silent_s) / most) for discovery in fleet]
+        fleet = [watching.DiscoveryClient(("127.0.0.1", 1), 0, lambda found: None, 10.0) for _ in range(400)]
+        for silent_s in (watching.WATCH_SILENCE_TIMEOUT_S, watching.SHARED_ANSWER_TIMEOUT_S):
+            most = watching.MAX_RECONNECT_GAP_S - silent_s
+            tenths = [int(10 * discovery._retry_delay_s(False, silent_s) / most) for discovery in fleet]
             assert max(tenths) < 10 and max(tenths.count(i) for i in range(10)) < 100
 
     run(scene)
@@ -265,7 +266,7 @@
             await self.refuse()
         transport = virtual.Transport(self.loop, watch)
         watch.connection_made(transport)
-        self.opened.append(self.loop.now)
+        self.opened.append(self.loop.now_s)
         self.watch = watch
         if not self.mute:
             head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -282,8 +283,8 @@
     agent, told = Agent(), []
 
     async def scene(loop):
-        discovery = watching.Discovery(
-            ("agent", 1), 0, lambda found: told.append((loop.now, found.event.version)), ask_every_s
+        discovery = watching.DiscoveryClient(
+            ("agent", 1), 0, lambda found: told.append((loop.now_s, found.event.version)), ask_every_s
         )
         play(loop, agent)
         discovery.start()
@@ -343,7 +344,7 @@
             agent.line = b'{"generation":2,"reset":true,"instances":[]}'
 
         def beat():
-            if loop.now < since and hasattr(agent, "watch"):
+            if loop.now_s < since and hasattr(agent, "watch"):
                 agent.say(agent.watch)
             loop.call_later(1.0, beat)
 
@@ -383,7 +384,7 @@
 
     opened, told = watched(play, ask_every_s)
     assert told and told[0][0] <= late_s + MARGIN_S
-    assert sum(1 for at in opened if at <= late_s) <= 1 + late_s / watching.WAIT_S
+    assert sum(1 for at in opened if at <= late_s) <= 1 + late_s / watching.SHARED_ANSWER_TIMEOUT_S
 
 
 def test_a_new_watch_that_is_silent_too_is_soon_given_up():
@@ -398,13 +399,13 @@
 def test_what_came_while_the_gateway_itself_stood_still_keeps_a_watch():
     def play(loop, agent):
         def stand_still():
-            loop.now += 20.0  # timers are late, and what came meanwhile is read only after them
+            loop.now_s += 20.0  # timers are late, and what came meanwhile is read only after them
             loop.call_soon(agent.say, agent.watch)
 
         loop.call_at(1.0, stand_still)
 
     opened, _ = watched(play)
-    assert opened[1] > 21.0 + watching.SILENT_S
+    assert opened[1] > 21.0 + watching.WATCH_SILENCE_TIMEOUT_S
 
 
 def states(*events):
@@ -412,7 +413,7 @@
 
     async def scene():
         told, now = [], {}
-        discovery = watching.Discovery(("127.0.0.1", 1), 5, told.append)
+        discovery = watching.DiscoveryClient(("127.0.0.1", 1), 5, told.append)
         for version, whole, *entries in events:
             take(discovery, {"generation": version, "reset": whole, "instances": entries})
             now.update((each.id, each.state.value) for found in told for each in found.event.backends)
@@ -451,10 +452,10 @@
 
 
 def test_what_is_kept_of_backends_that_left_is_bounded(monkeypatch):
-    monkeypatch.setattr(watching, "LEAVING_MOST", 3)
+    monkeypatch.setattr(watching, "MAX_LEAVING_BACKENDS", 3)
 
     async def scene():
-        discovery = watching.Discovery(("127.0.0.1", 1), 0, lambda found: None)
+        discovery = watching.DiscoveryClient(("127.0.0.1", 1), 0, lambda found: None)
         for i in range(9):
             take(discovery, {"generation": i + 1, "instances": [entry(f"s{i}", lifecycle="Gone")]})
         assert list(discovery._leaving) == ["s6", "s7", "s8"]
@@ -471,14 +472,14 @@
 
 def test_a_whole_list_of_26000_over_a_real_socket_is_taken_and_served_from():
     async def scene():
-        old, new = Backend(ok(b"old")), Backend(ok(b"new"))
+        old, new = Backend(reply_ok(b"old")), Backend(reply_ok(b"new"))
         async with World({"b1": old}) as w:
             await new.start()
             many = (w.discovery.entry(f"s-{i:08x}", new.port, zone=f"z{i % 16}") for i in range(26000))
-            w.discovery.tell(*many, reset=True)
+            w.discovery.publish(*many, reset=True)
             while (await w.call(request())).body != b"new":
                 await asyncio.sleep(0.02)
-            w.discovery.tell(w.discovery.entry("b1", old.port), reset=True)
+            w.discovery.publish(w.discovery.entry("b1", old.port), reset=True)
             row = 0  # the others leave slice by slice: one answer from "b1" does not show the end of it
             while row < 20:
                 row = row + 1 if (await w.call(request())).body == b"old" else 0
@@ -497,19 +498,22 @@
             asyncio.get_running_loop().call_soon(tick)
 
         agent.entries = {each["instanceId"]: each for each in many(1000)}
-        watch = watching.Discovery(
+        watch = watching.DiscoveryClient(
             ("127.0.0.1", agent.port), 0, lambda found: told.append((turn[0], len(found.event.backends)))
         )
         tick()
         watch.start()
-        await watch.first.wait()
-        assert max(count for _, count in told) <= watching.SLICE and sum(count for _, count in told) == 1000
+        await watch.first_list_received.wait()
+        assert (
+            max(count for _, count in told) <= watching.ENTRIES_PER_SLICE
+            and sum(count for _, count in told) == 1000
+        )
         assert len({when for when, _ in told}) == len(told)
         del told[:]
-        agent.tell(reset=True)
-        await until(lambda: watch._version == 2)
+        agent.publish(reset=True)
+        await wait_until(lambda: watch._version == 2)
         assert sum(count for _, count in told) == 1000
-        assert max(count for _, count in told) <= watching.NAMES_SLICE
+        assert max(count for _, count in told) <= watching.NAMES_PER_SLICE
         assert len({when for when, _ in told}) == len(told)
         watch.stop()
 
@@ -519,11 +523,13 @@
 def test_the_collector_does_not_go_through_what_a_long_list_has_named():
     # With 26,000 names in a set, each look while a list came in held the loop up by 5 to 6 ms.
     async def scene():
-        discovery, reader = watching.Discovery(("127.0.0.1", 1), 0, lambda found: None), Reader()
+        discovery, reader = watching.DiscoveryClient(("127.0.0.1", 1), 0, lambda found: None), ListReader()
         reader.feed(json.dumps({"generation": 1, "reset": True, "instances": many(100)}).encode()[:-9])
-        while discovery._take(reader):
+        while discovery._take_slice(reader):
             pass
-        assert len(discovery._taken.named) > 50 and not gc.is_tracked(discovery._taken.named)
+        assert len(discovery._current_list.listed_ids) > 50 and not gc.is_tracked(
+            discovery._current_list.listed_ids
+        )
 
     run(scene)
 
@@ -533,13 +539,13 @@
     told = []
 
     async def scene():
-        discovery = watching.Discovery(("127.0.0.1", 1), 0, told.append)
+        discovery = watching.DiscoveryClient(("127.0.0.1", 1), 0, told.append)
         take(discovery, whole)
         assert sum(len(found.event.backends) for found in told) == 300
         del told[:]
-        reader = Reader()
+        reader = ListReader()
         reader.feed(json.dumps({**whole, "generation": 2}, indent=2).encode())
-        while discovery._take(reader):
+        while discovery._take_slice(reader):
             pass
         assert [found.event for found in told] == [io.BackendsChanged(io.ListKind.DELTA, 2)]
         take(discovery, {**whole, "generation": 3, "instances": [*many(300)[:-1], entry("s299", weight=2.0)]})
@@ -568,10 +574,10 @@
     async def scene():
         one = host.Host(loaded(tmp_path, configured()))
         frozen = gc.get_freeze_count()
-        take(one.discovery, {"generation": 2, "instances": many(host.FREEZE_EACH - 1)})
+        take(one.discovery, {"generation": 2, "instances": many(host.GC_FREEZE_ENTRIES - 1)})
         assert gc.get_freeze_count() == frozen
         take(one.discovery, {"generation": 3, "instances": [entry("one more")]})
-        assert gc.get_freeze_count() >= frozen + 3 * host.FREEZE_EACH
+        assert gc.get_freeze_count() >= frozen + 3 * host.GC_FREEZE_ENTRIES
 
     try:
         run(scene)
@@ -600,13 +606,13 @@
             writer.close()
 
         seen, server = [], await asyncio.start_server(agent, "127.0.0.1", 0)
-        watch = watching.Discovery(
+        watch = watching.DiscoveryClient(
             server.sockets[0].getsockname(),
             0,
             lambda found: told.update((each.id, each.state.value) for each in found.event.backends),
         )
         watch.start()
-        await until(lambda: len(tries) == 4)
+        await wait_until(lambda: len(tries) == 4)
         everywhere = {f"s{i}": "up" for i in range(100)}
         assert seen[0] == everywhere
         assert seen[1] == {**everywhere, "s1": "draining", **{f"n{i}": "up" for i in range(100)}}
@@ -624,9 +630,10 @@
 def test_an_older_list_takes_no_leave_back_though_it_says_its_generation_last():
     async def scene():
         told, now = [], {}
-        discovery = watching.Discovery(("127.0.0.1", 1), 0, told.append)
+        discovery = watching.DiscoveryClient(("127.0.0.1", 1), 0, told.append)
         take(discovery, {"generation": 7, "instances": [entry("a", lifecycle="Terminating"), entry("b")]})
-        more = many(2 * watching.SLICE)  # "a" is read, and has to be judged, long before the generation
+        # "a" is read, and has to be judged, long before the generation
+        more = many(2 * watching.ENTRIES_PER_SLICE)
         take(discovery, {"instances": [entry("a"), entry("b"), *more], "reset": True, "generation": 6})
         now.update((each.id, each.state.value) for found in told for each in found.event.backends)
         assert (now["a"], now["b"]) == ("draining", "up")
@@ -638,10 +645,10 @@
 
 
 def test_of_a_long_list_as_many_are_kept_in_mind_as_leaving_as_are_known():
-    count = 2 * watching.LEAVING_MOST
+    count = 2 * watching.MAX_LEAVING_BACKENDS
 
     async def scene():
-        discovery = watching.Discovery(("127.0.0.1", 1), 0, lambda found: None)
+        discovery = watching.DiscoveryClient(("127.0.0.1", 1), 0, lambda found: None)
         take(discovery, {"generation": 1, "reset": True, "instances": many(count)})
         take(discovery, {"generation": 2, "instances": many(count, lifecycle="Terminating")})
         assert len(discovery._leaving) == count
@@ -650,10 +657,10 @@
 
 
 def test_backends_that_lists_without_an_end_name_are_not_all_kept(monkeypatch):
-    monkeypatch.setattr(watching, "KNOWN_MOST", 100)
+    monkeypatch.setattr(watching, "MAX_KNOWN_BACKENDS", 100)
 
     async def scene():
-        discovery = watching.Discovery(("127.0.0.1", 1), 0, lambda found: None)
+        discovery = watching.DiscoveryClient(("127.0.0.1", 1), 0, lambda found: None)
         with pytest.raises(ValueError):
             take(discovery, {"generation": 1, "instances": many(101)})
         assert len(discovery._known) == 100
@@ -688,9 +695,9 @@
         def hear(found):
             told.append(found.event.version)
             reading.append(discovery._watch.transport.reading)
-            loop.now += 2.0  # the work takes long, and the agent's heartbeats wait in the socket
+            loop.now_s += 2.0  # the work takes long, and the agent's heartbeats wait in the socket
 
-        discovery = watching.Discovery(("agent", 1), 0, hear)
+        discovery = watching.DiscoveryClient(("agent", 1), 0, hear)
         discovery.start()
         while 2 not in told or len(told) < 10:
             await asyncio.sleep(0.5)
@@ -706,7 +713,7 @@
     agent = Slow([b'{"generation":2,"instances":[', *[b"\n"] * 20], 1.0)
 
     async def scene(loop):
-        discovery = watching.Discovery(("agent", 1), 0, lambda found: None)
+        discovery = watching.DiscoveryClient(("agent", 1), 0, lambda found: None)
         discovery.start()
         await asyncio.sleep(5.0)
         assert len(agent.opened) == 2
@@ -720,7 +727,7 @@
     agent, told = Slow([line], 1.0), []
 
     async def scene(loop):
-        discovery = watching.Discovery(("agent", 1), 0, lambda found: told.append(discovery.stop()))
+        discovery = watching.DiscoveryClient(("agent", 1), 0, lambda found: told.append(discovery.stop()))
         discovery.start()
         await asyncio.sleep(5.0)
         assert len(told) == 1 and discovery._version == 0
@@ -739,7 +746,7 @@
     agent, told = Ends([line], 1.0), []
 
     async def scene(loop):
-        discovery = watching.Discovery(("agent", 1), 0, told.append)
+        discovery = watching.DiscoveryClient(("agent", 1), 0, told.append)
         discovery.start()
         await asyncio.sleep(0.3)
         assert sum(len(found.event.backends) for found in told) == 100
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -6,16 +6,27 @@
 import signal
 
 import pytest
-from world import CLASSES, Backend, Hold, World, never_up, ok, request, run, status, until
+from world import (
+    CLASSES,
+    Backend,
+    HeldReply,
+    World,
+    reply_ok,
+    reply_status,
+    request,
+    run,
+    unreachable_port,
+    wait_until,
+)
 
 
 async def stopping(world):
     """The gateway has begun to drain: idle connections are closed first."""
     idle = await world.connect()
     idle.send(b"GET /healthz HTTP/1.1\r\n\r\n")  # so that it is known to be accepted
-    assert (await idle.answer()).status == 200
-    world.program.send_signal(signal.SIGTERM)
-    assert await idle.ended()
+    assert (await idle.read_response()).status == 200
+    world.process.send_signal(signal.SIGTERM)
+    assert await idle.closed_by_peer()
 
 
 def short(deadline_ms=8000.0):
@@ -27,7 +38,7 @@
         async with World({"b1": Backend()}) as w:
             idle = await w.connect()
             assert await w.stop() == 0
-            assert await idle.ended()
+            assert await idle.closed_by_peer()
             assert "Traceback" not in w.log.read_text()
 
     run(scene)
@@ -35,7 +46,7 @@
 
 def test_what_was_taken_is_finished_and_new_connections_are_served_for_a_while():
     async def scene():
-        hold = Hold()
+        hold = HeldReply()
         async with World({"b1": Backend(hold), "b2": Backend(hold)}) as w:
             client = await w.connect()
             client.send(request("hold", body=b"x"))
@@ -43,30 +54,30 @@
             await stopping(w)
             late = await w.connect()  # the front does not know yet
             late.send(request(name="r2"))
-            await until(lambda: sum(len(b.seen) for b in w.backends.values()) == 2)
+            await wait_until(lambda: sum(len(b.requests) for b in w.backends.values()) == 2)
             hold.release.set()
             for one in (client, late):
-                answer = await one.answer()
+                answer = await one.read_response()
                 assert (answer.status, answer.headers["connection"]) == (200, "close")
-                assert await one.ended()
-            assert await w.program.wait() == 0
+                assert await one.closed_by_peer()
+            assert await w.process.wait() == 0
 
     run(scene)
 
 
 def test_pipelined_requests_that_were_read_are_answered_before_the_connection_ends():
     async def scene():
-        hold = Hold()
+        hold = HeldReply()
         async with World({"b1": Backend(hold)}) as w:
             client = await w.connect()
             client.send(request(name="r1") + request(name="r2"))
             await hold.reached.wait()
             await stopping(w)
             hold.release.set()
-            answers = [await client.answer() for _ in range(2)]
+            answers = [await client.read_response() for _ in range(2)]
             assert [x.headers.get("connection") for x in answers] == [None, "close"]
-            assert [x.status for x in answers] == [200, 200] and await client.ended()
-            assert await w.program.wait() == 0
+            assert [x.status for x in answers] == [200, 200] and await client.closed_by_peer()
+            assert await w.process.wait() == 0
 
     run(scene)
 
@@ -75,17 +86,17 @@
 def test_what_cannot_be_finished_is_answered_before_the_kill(kind, code):
     # It may have run, so the answer promises nothing.
     async def scene():
-        hold = Hold()
+        hold = HeldReply()
         async with World({"b1": Backend(hold)}) as w:
             client = await w.connect()
             client.send(request(kind))
             await hold.reached.wait()
             began = asyncio.get_running_loop().time()
-            w.program.send_signal(signal.SIGTERM)
-            answer = await client.answer()
+            w.process.send_signal(signal.SIGTERM)
+            answer = await client.read_response()
             assert answer.status == code
             assert asyncio.get_running_loop().time() - began > 2.0
-            assert await w.program.wait() == 0
+            assert await w.process.wait() == 0
 
     run(scene)
 
@@ -93,81 +104,81 @@
 def test_what_never_ran_is_refused_at_the_end():
     async def scene():
         # Its connection is opening all the while: nothing of it has left.
-        with never_up() as port:
+        with unreachable_port() as port:
             changes = {"policyLimits": {"connectTimeoutMs": 30000.0}}
-            async with World(ports={"b1": port}, changes=changes) as w:
+            async with World(extra_ports={"b1": port}, settings_changes=changes) as w:
                 client = await w.connect()
                 client.send(request("pay"))
                 await stopping(w)
-                assert (await client.answer()).status == 503
-                assert await w.program.wait() == 0
+                assert (await client.read_response()).status == 503
+                assert await w.process.wait() == 0
 
     run(scene)
 
 
 def test_short_deadlines_end_the_drain_sooner():
     async def scene():
-        hold = Hold()
-        async with World({"b1": Backend(hold)}, changes=short(600.0)) as w:
+        hold = HeldReply()
+        async with World({"b1": Backend(hold)}, settings_changes=short(600.0)) as w:
             client = await w.connect()
             client.send(request("pay", X_Timeout="0.6"))
             await hold.reached.wait()
             began = asyncio.get_running_loop().time()
-            w.program.send_signal(signal.SIGTERM)
-            assert (await client.answer()).status == 502
+            w.process.send_signal(signal.SIGTERM)
+            assert (await client.read_response()).status == 502
             assert asyncio.get_running_loop().time() - began < 0.6 + 0.7 + 20.0
-            assert await w.program.wait() == 0
+            assert await w.process.wait() == 0
 
     run(scene)
 
 
 def test_a_large_answer_goes_out_whole_at_the_end():
     async def scene():
-        hold = Hold(ok(b"x" * 65536))
+        hold = HeldReply(reply_ok(b"x" * 65536))
         async with World({"b1": Backend(hold)}) as w:
             client = await w.connect()
             client.send(request())
             await hold.reached.wait()
-            w.program.send_signal(signal.SIGTERM)
+            w.process.send_signal(signal.SIGTERM)
             hold.release.set()
             await asyncio.sleep(0.2)  # a client slow to read
-            assert len((await client.answer()).body) == 65536
-            assert await w.program.wait() == 0
+            assert len((await client.read_response()).body) == 65536
+            assert await w.process.wait() == 0
 
     run(scene)
 
 
 def test_a_second_signal_changes_nothing():
     async def scene():
-        hold = Hold()
+        hold = HeldReply()
         async with World({"b1": Backend(hold)}) as w:
             client = await w.connect()
             client.send(request())
             await hold.reached.wait()
             await stopping(w)
-            w.program.send_signal(signal.SIGTERM)
-            w.program.send_signal(signal.SIGINT)
+            w.process.send_signal(signal.SIGTERM)
+            w.process.send_signal(signal.SIGINT)
             hold.release.set()
-            assert (await client.answer()).status == 200
-            assert await w.program.wait() == 0
+            assert (await client.read_response()).status == 200
+            assert await w.process.wait() == 0
 
     run(scene)
 
 
 def test_a_failed_attempt_is_still_tried_elsewhere_while_draining():
     async def scene():
-        hold = Hold(status(503, b"X-Not-Processed: 1\r\n"))
+        hold = HeldReply(reply_status(503, b"X-Not-Processed: 1\r\n"))
         first, second = Backend(hold), Backend()
         async with World({"b1": first}) as w:
             await second.start()
             client = await w.connect()
             client.send(request("pay"))
             await hold.reached.wait()
-            w.discovery.tell(w.discovery.entry("b2", second.port))
+            w.discovery.publish(w.discovery.entry("b2", second.port))
             await stopping(w)
             hold.release.set()
-            assert (await client.answer()).status in (200, 503)
-            assert await w.program.wait() == 0
+            assert (await client.read_response()).status in (200, 503)
+            assert await w.process.wait() == 0
             second.server.close()
 
     run(scene)
@@ -184,7 +195,7 @@
     # The machine has accepted them, and so they count as taken, though the program has not seen them yet.
     async def scene():
         backend = Backend()
-        world = World({"b1": backend}, waits=False, patch=PATCH_CLOSED_DOOR)
+        world = World({"b1": backend}, waits_until_ready=False, patch=PATCH_CLOSED_DOOR)
         async with world as w:
             waiting = None
             while waiting is None:
@@ -195,20 +206,23 @@
             more = [await w.connect() for _ in range(2)]  # no more than is sent on at once
             for i, client in enumerate([waiting, *more]):
                 client.send(request(name=f"r{i}"))
-            await w.discovery.watched.wait()
-            w.program.send_signal(signal.SIGTERM)
+            await w.discovery.watch_opened.wait()
+            w.process.send_signal(signal.SIGTERM)
             for client in [waiting, *more]:
-                answer = await client.answer()
+                answer = await client.read_response()
                 assert (answer.status, answer.headers["connection"]) == (200, "close")
-            assert await w.program.wait() == 0
+            assert await w.process.wait() == 0
 
     run(scene)
 
 
 def test_a_connection_with_a_request_unread_or_one_just_made_is_not_closed_as_idle():
     async def scene():
-        hold = Hold()
-        async with World({"b1": Backend(hold)}, patch="clients.DRAIN_NEW_S = 5.0; main.ACCEPT_S = 5.0") as w:
+        hold = HeldReply()
+        async with World(
+            {"b1": Backend(hold)},
+            patch="clients.DRAIN_FIRST_REQUEST_TIMEOUT_S = 5.0; main.DRAIN_ACCEPT_S = 5.0",
+        ) as w:
             busy = await w.connect()
             busy.send(request())
             await hold.reached.wait()
@@ -217,25 +231,25 @@
             new.send(request(name="r2"))
             hold.release.set()
             for client in (busy, new):
-                answer = await client.answer()
+                answer = await client.read_response()
                 assert (answer.status, answer.headers["connection"]) == (200, "close")
-            assert await w.program.wait() == 0
+            assert await w.process.wait() == 0
 
     run(scene)
 
 
 def test_a_connection_that_stays_silent_is_closed_while_draining():
     async def scene():
-        hold = Hold()
+        hold = HeldReply()
         async with World({"b1": Backend(hold)}) as w:
             busy, silent = await w.connect(), await w.connect()
             busy.send(request())
             await hold.reached.wait()
             await stopping(w)
-            assert await silent.ended()  # while another request still runs
+            assert await silent.closed_by_peer()  # while another request still runs
             hold.release.set()
-            assert (await busy.answer()).status == 200
-            assert await w.program.wait() == 0
+            assert (await busy.read_response()).status == 200
+            assert await w.process.wait() == 0
 
     run(scene)
 
@@ -248,7 +262,7 @@
             ended = asyncio.create_task(w.stop())
             while not ended.done():
                 with contextlib.suppress(ProcessLookupError):
-                    os.kill(w.program.pid, number)
+                    os.kill(w.process.pid, number)
                 await asyncio.sleep(0)
             assert await ended == 0
 
@@ -258,7 +272,7 @@
 def test_signals_in_series_end_a_gateway_once_and_well():
     # SIGHUP with a file that is half written, within a second, during a drain, and SIGTERM after it.
     async def scene():
-        hold = Hold()
+        hold = HeldReply()
         async with World({"b1": Backend(hold)}) as w:
             client = await w.connect()
             client.send(request("pay"))
@@ -267,15 +281,15 @@
             whole = path.read_text()
             path.write_text(whole[: len(whole) // 2])
             for number in (signal.SIGHUP, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
-                w.program.send_signal(number)
+                w.process.send_signal(number)
                 await asyncio.sleep(0.05)
             path.write_text(whole)
-            w.program.send_signal(signal.SIGHUP)
-            w.program.send_signal(signal.SIGTERM)
+            w.process.send_signal(signal.SIGHUP)
+            w.process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.05)
             hold.release.set()
-            assert (await client.answer()).status == 200
-            assert await w.program.wait() == 0
+            assert (await client.read_response()).status == 200
+            assert await w.process.wait() == 0
 
     run(scene)
 
@@ -284,12 +298,12 @@
 def test_a_signal_before_it_is_ready_ends_a_gateway(after_s):
     # Before its handler is set the signal itself ends the process: nothing was taken by then.
     async def scene():
-        world = World({"b1": Backend()}, waits=False)
+        world = World({"b1": Backend()}, waits_until_ready=False)
         world.discovery.mute = True  # it would wait for its first list for a second
         async with world as w:
             await asyncio.sleep(after_s)
-            w.program.send_signal(signal.SIGTERM)
-            assert await w.program.wait() in (0, -signal.SIGTERM)
+            w.process.send_signal(signal.SIGTERM)
+            assert await w.process.wait() in (0, -signal.SIGTERM)
             assert "Traceback" not in w.log.read_text()
 
     run(scene)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -16,7 +16,7 @@
 from elderhub.clients import Client
 from elderhub.host import Host
 from emulator import Fault, Options
-from emulator.checks import Asked, Checks
+from emulator.checks import Checks, SentRequest
 
 TROUBLED = Options(
     gateways=5,
@@ -76,23 +76,34 @@
         (
             Fault("leave", 2.0, part=0.5),
             "sent to a backend that had left",
-            {(discovery, "STATES"): {"Ready": io.BackendState.UP, "Terminating": io.BackendState.UP}},
+            {
+                (discovery, "LIFECYCLE_STATES"): {
+                    "Ready": io.BackendState.UP,
+                    "Terminating": io.BackendState.UP,
+                }
+            },
         ),
         (
             Fault("leavers", 1.0, 4.0, 0.5),
             "begun after its client left",
-            {(Host, "left"): lambda self, client: None, (Client, "gone"): lambda self: False},
+            {
+                (Host, "client_disconnected"): lambda self, client: None,
+                (Client, "has_disconnected"): lambda self: False,
+            },
         ),
         (
             Fault("drain", 1.0, 2.0, 1.0),
             "no final answer: its connection was ended",
-            {(Host, "finish"): lambda self: None, (Client, "answer"): lambda self, *answer: None},
+            {
+                (Host, "answer_open_requests"): lambda self: None,
+                (Client, "respond"): lambda self, *answer: None,
+            },
         ),
-        (Fault("hang", 1.0, 9.0, 0.2), "not ready in time", {(Backends, "any_up"): lambda self: False}),
+        (Fault("hang", 1.0, 9.0, 0.2), "not ready in time", {(Backends, "has_backend"): lambda self: False}),
     ],
 )
 def test_a_gateway_that_breaks_a_rule_is_seen_to(monkeypatch, fault, rule, broken):
-    monkeypatch.setattr("elderhub.__main__.READY_S", 60.0)
+    monkeypatch.setattr("elderhub.__main__.READY_TIMEOUT_S", 60.0)
     for (owner, name), other in broken.items():
         monkeypatch.setattr(owner, name, other)
     # Requests of a client that has left go on only where an attempt fails.
@@ -107,29 +118,29 @@
 
     def __init__(self, repeat=io.Idempotency.SAFE):
         super().__init__()
-        self.one = Asked("a", SimpleNamespace(deadline=1000.0), b"GET /\n", repeat, 0, 1, 0.0)
-        self.sent(self.one)
+        self.one = SentRequest("a", SimpleNamespace(deadline=1000.0), b"GET /\n", repeat, 0, 1, 0.0)
+        self.record_request(self.one)
 
-    def tried(self, at, shut_at=float("inf"), text=b"GET /\n", name="a", backend="b"):
-        peer = SimpleNamespace(sent_at=at, shut_at=shut_at)
-        found = self.attempt(at + 1.0, name, text, backend, 0, peer, 2000.0)
+    def tried(self, at, send_closed_at=float("inf"), text=b"GET /\n", name="a", backend="b"):
+        peer = SimpleNamespace(sent_at=at, send_closed_at=send_closed_at)
+        found = self.record_attempt(at + 1.0, name, text, backend, 0, peer, 2000.0)
         return found and found[1]
 
     def got(self, at, status=200, body=b"made"):
-        return self.answered(at + 1.0, self.one, status, body, at)
+        return self.record_response(at + 1.0, self.one, status, body, at)
 
 
 def test_each_rule_is_kept_by_what_is_right():
     seen = Seen(io.Idempotency.UNSAFE)
     first = seen.tried(10.0)
-    first.ran, first.over_at = False, 20.0
+    first.ran, first.ended_at = False, 20.0
     seen.tried(30.0)
     seen.one.bodies.append(b"made")
     assert seen.got(40.0) == "served" and not seen.broken
-    seen.told(0, "b", True, 100.0)
+    seen.record_backend_change(0, "b", True, 100.0)
     safe = Seen()
-    safe.told(0, "b", True, 100.0)
-    safe.tried(2149.0, shut_at=2160.0)
+    safe.record_backend_change(0, "b", True, 100.0)
+    safe.tried(2149.0, send_closed_at=2160.0)
     safe.tried(2161.0, backend="c")  # the first was given up before
     assert not safe.broken
 
@@ -138,18 +149,21 @@
     "rule, events",
     [
         ("two attempts at once", lambda s: (s.tried(10.0), s.tried(20.0))),
-        ("two attempts at once", lambda s: (s.tried(10.0, shut_at=21.0), s.tried(20.0))),
+        ("two attempts at once", lambda s: (s.tried(10.0, send_closed_at=21.0), s.tried(20.0))),
         (
             "an unsafe request sent again that may have run",
-            lambda s: (s.tried(10.0, shut_at=15.0), s.tried(20.0)),
+            lambda s: (s.tried(10.0, send_closed_at=15.0), s.tried(20.0)),
         ),
         ("refused what may have run", lambda s: (s.tried(10.0), s.got(20.0, 503))),
         ("a second final answer", lambda s: (s.got(20.0, 502), s.got(30.0, 502))),
         ("served with what no backend made for it", lambda s: (s.tried(10.0), s.got(20.0, 200, b"else"))),
         ("no final answer in time", lambda s: s.got(1501.0, 502)),
         ("sent on after its end", lambda s: (s.got(20.0, 502), s.tried(21.0))),
-        ("begun after its client left", lambda s: (s.left(10.0, 12.0, s.one), s.tried(113.0))),
-        ("sent to a backend that had left", lambda s: (s.told(0, "b", True, 100.0), s.tried(2151.0))),
+        ("begun after its client left", lambda s: (s.record_client_leave(10.0, 12.0, s.one), s.tried(113.0))),
+        (
+            "sent to a backend that had left",
+            lambda s: (s.record_backend_change(0, "b", True, 100.0), s.tried(2151.0)),
+        ),
         ("sent on what no client asked", lambda s: s.tried(10.0, name="x")),
         ("passed on changed", lambda s: s.tried(10.0, text=b"GET /?\n")),
     ],
--- a/tests/test_emulator_network.py
+++ b/tests/test_emulator_network.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from emulator.network import CUT_MS, WINDOW, Machine, Network, Poll, Stream
+from emulator.network import SPLIT_DELAY_MS, WINDOW_BYTES, Machine, Network, Poll, Stream
 from scale.clock import Clock
 from scale.links import Links
 
@@ -33,7 +33,7 @@
         self.clock = Clock(0.0)
         self.links = Links(2, 2)
         self.network = Network(self.clock, self.links, Random(1))
-        self.links.on_heal = self.network.healed
+        self.links.on_heal = self.network.send_held
         self.here = Machine(self.network, "here", "r0z0", descriptors)
         self.there = Machine(self.network, "there", "r1z1")
         self.listening = self.there.listen(("there", 1), backlog, self.accept if accept else lambda: None)
@@ -65,7 +65,7 @@
     sent = b"".join(b"%d," % number for number in range(2000))
     for start in range(0, len(sent), 10):
         end.stream.send(sent[start : start + 10])
-        p.run(1.0 + CUT_MS[1])
+        p.run(1.0 + SPLIT_DELAY_MS[1])
     p.run()
     assert p.accepted[0].data == sent and p.accepted[0].pieces > len(sent) / 10
 
@@ -105,12 +105,12 @@
     p.run()
     sock = p.accepted[0].stream.sock
     sock.reader = lambda: None
-    end.stream.send(b"x" * (WINDOW + 5))
+    end.stream.send(b"x" * (WINDOW_BYTES + 5))
     p.run()
-    assert len(sock.inbox) == WINDOW and end.sock.send(b"y") == 0
+    assert len(sock.receive_buffer) == WINDOW_BYTES and end.sock.send(b"y") == 0
     assert sock.read(3) == b"xxx"
     p.run()
-    assert len(sock.inbox) == WINDOW
+    assert len(sock.receive_buffer) == WINDOW_BYTES
 
 
 def test_a_full_queue_lets_no_connection_in_until_there_is_room():
@@ -128,13 +128,13 @@
 
 def test_connections_are_refused_or_come_up_late_or_never():
     p = Pair()
-    p.network.come_up = lambda where, rng: 200.0
+    p.network.connect_delay_ms = lambda where, rng: 200.0
     p.connect()
-    p.network.come_up = lambda where, rng: None
+    p.network.connect_delay_ms = lambda where, rng: None
     p.connect()
     p.run(20_000.0)
     assert len(p.up_at) == 1 and 230.0 <= p.up_at[0] < 233.0
-    p.network.come_up = lambda where, rng: 0.0
+    p.network.connect_delay_ms = lambda where, rng: 0.0
     p.there.die()
     p.connect()
     p.run()
