--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -14,17 +14,17 @@
     Connection,
     Counter,
     Discovery,
-    Hold,
+    HeldReply,
     World,
-    broken,
     free_port,
-    named,
-    ok,
+    reply_ok,
+    reply_reset,
+    reply_status,
     request,
+    request_id,
     run,
     settings,
-    status,
-    until,
+    wait_until,
 )
 
 from cobaltline import interface as io
@@ -47,10 +47,10 @@
 
 def test_the_clock_is_unix_time_and_never_goes_backwards(monkeypatch):
     clock = host.Clock()
-    assert abs(clock.now() - time.time() * 1000.0) < 1000.0
-    before = clock.now()
+    assert abs(clock.now_ms() - time.time() * 1000.0) < 1000.0
+    before = clock.now_ms()
     monkeypatch.setattr(time, "time", lambda: 0.0)  # somebody sets the machine's clock
-    assert before <= clock.now() < before + 60000.0
+    assert before <= clock.now_ms() < before + 60000.0
 
 
 class Recorder:
@@ -72,7 +72,7 @@
         config = loaded(tmp_path, told(settings=settings(familyInfo={"counter": False})))
         one = host.Host(config)  # with no counter, a call's result is there at once
         carried = []
-        count = one._do[io.CounterAdd]
+        count = one._action_handlers[io.CounterAdd]
 
         def counted(action):
             one._module.inside = True
@@ -80,8 +80,8 @@
             count(action)
             one._module.inside = False
 
-        one._do[io.CounterAdd] = counted
-        one.put("first")
+        one._action_handlers[io.CounterAdd] = counted
+        one.dispatch("first")
         assert carried == ["a", "b"]
         failed = io.Outcome.CONNECT_FAILED
         assert one._module.events == ["first", io.CounterResult("a", failed), io.CounterResult("b", failed)]
@@ -94,7 +94,7 @@
         backend = Backend()
         async with World({"b1": backend}, patch=HOOKED.format(event="RequestArrived")) as w:
             assert (await w.call(request())).status == 500
-            assert not backend.seen and "RuntimeError: a bug" in w.log.read_text()
+            assert not backend.requests and "RuntimeError: a bug" in w.log.read_text()
             assert (await w.call(request(name="r2"))).status == 200
             assert await w.stop() == 0
 
@@ -103,7 +103,7 @@
 
 def test_an_error_at_the_end_of_an_attempt_takes_nothing_back():
     async def scene():
-        async with World({"b1": Backend(ok(b"beds"))}, patch=HOOKED.format(event="AttemptEnded")) as w:
+        async with World({"b1": Backend(reply_ok(b"beds"))}, patch=HOOKED.format(event="AttemptEnded")) as w:
             answer = await w.call(request())
             assert (answer.status, answer.body) == (200, b"beds")
             assert (await w.call(request(name="r2"))).status == 200
@@ -115,20 +115,20 @@
 def test_a_late_answer_of_a_second_copy_changes_nothing():
     # Two attempts out, both answer: one answer to the client, and both attempts end for the module.
     async def scene():
-        slow, fast = Hold(ok(b"slow")), Backend(ok(b"fast"))
+        slow, fast = HeldReply(reply_ok(b"slow")), Backend(reply_ok(b"fast"))
         first = Backend(slow)
         changes = {"policyLimits": {"mayDuplicate": True, "cancel": False}}
-        async with World({"b1": first, "b2": fast}, changes=changes) as w:
+        async with World({"b1": first, "b2": fast}, settings_changes=changes) as w:
             client = await w.connect()
             for i in range(40):  # some go to each; a copy of those that hang goes to the other
                 client.send(request(name=f"r{i}"))
-                assert (await client.answer()).body == b"fast"
-                if first.seen:
+                assert (await client.read_response()).body == b"fast"
+                if first.requests:
                     break
-            assert first.seen
+            assert first.requests
             slow.release.set()
             client.send(request(name="last"))
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
             assert "Traceback" not in w.log.read_text()
 
     run(scene)
@@ -142,30 +142,30 @@
         config = loaded(tmp_path, told(known=known, counter=f"127.0.0.1:{counter.port}"))
         one, listen = host.Host(config), free_port()
         one.counter.start()
-        one.listed(config.known)
+        one.apply_listing(config.known)
         one.clients.listen(HOST, listen)
 
         async def call(data, stay=True):
             client = Connection(*await asyncio.open_connection(HOST, listen))
             client.send(data)
             if stay:
-                await client.answer()
+                await client.read_response()
             client.writer.close()
 
         for i in range(10):
             for kind in ("read", "hold", "pay"):
                 await call(request(kind, name=f"r{i}"))
                 await call(request(kind, plan="basic", customer=f"{i:016x}"))
-        backend.reply = broken()
+        backend.reply = reply_reset()
         await call(request("pay"))
-        backend.reply = Hold()
+        backend.reply = HeldReply()
         await call(request("pay", X_Timeout="0.2"))
         for _ in range(5):
             await call(request(), stay=False)
         await call(request("pay", X_Timeout="0.2"))
-        await until(lambda: not one._requests and not one.clients._open)
+        await wait_until(lambda: not one._requests and not one.clients._open)
         module = one._module
-        assert not one._names and not module.requests and not module.in_flight and not module.calls
+        assert not one._open_ids and not module.requests and not module.in_flight and not module.calls
         assert one._module.attempts_out == 0 and not one._events
         one.clients.stop_listening()
 
@@ -210,7 +210,7 @@
         self.host, self.listen = host.Host(config), free_port()
         self.gate = self.host.backends.loop = Gate(asyncio.get_running_loop())
         self.host.counter.start()
-        self.host.listed(config.known)
+        self.host.apply_listing(config.known)
         self.host.clients.listen(HOST, self.listen)
         return self
 
@@ -226,7 +226,7 @@
 
     def seen(self):
         """The names of what any backend got."""
-        return [seen.headers["x-request-id"] for backend in self.backends for seen in backend.seen]
+        return [seen.headers["x-request-id"] for backend in self.backends for seen in backend.requests]
 
 
 @pytest.mark.parametrize("cancel", [True, False])
@@ -238,13 +238,13 @@
             client.send(request("pay", name="left"))
             await w.gate.wanted.wait()
             client.writer.close()
-            await until(lambda: not w.host.clients._open)
+            await wait_until(lambda: not w.host.clients._open)
             w.gate.open.set()
-            await until(lambda: w.backend.connections == 1)
+            await wait_until(lambda: w.backend.connections == 1)
             second = await w.connect()
             second.send(request("pay", name="stays"))
-            assert (await second.answer()).status == 200
-            assert [seen.headers["x-request-id"] for seen in w.backend.seen] == [named("stays")]
+            assert (await second.read_response()).status == 200
+            assert [seen.headers["x-request-id"] for seen in w.backend.requests] == [request_id("stays")]
             assert not w.host._module.requests and not w.host._requests
 
     run(scene)
@@ -282,8 +282,8 @@
                 other = await w.connect()
                 while not all(backend.connections for backend in w.backends):
                     other.send(request(name="before"))
-                    await other.answer()
-                await asyncio.sleep(2.0 * backends.REST_S)  # the next attempt goes out at once
+                    await other.read_response()
+                await asyncio.sleep(2.0 * backends.REUSE_DELAY_S)  # the next attempt goes out at once
             client.sendall(request(name="left"))
             if when == "unread":
                 stand_still(client)
@@ -296,18 +296,18 @@
 
                 for backend in w.backends:
                     backend.reply = fails
-            before = w.host._last
-            await until(lambda: w.host._last > before and not w.host._requests)
+            before = w.host._last_request_number
+            await wait_until(lambda: w.host._last_request_number > before and not w.host._requests)
             await asyncio.sleep(0.1)
-            assert w.seen().count(named("left")) == (when == "between two attempts")
-            assert w.host._module.attempts_out == 0 and not w.host._names
+            assert w.seen().count(request_id("left")) == (when == "between two attempts")
+            assert w.host._module.attempts_out == 0 and not w.host._open_ids
 
     run(scene)
 
 
 def test_a_client_that_ends_its_side_has_left_though_it_has_an_answer_unread(tmp_path, monkeypatch):
     # Closing waits for what is still to be written: the end of the connection may be told long after.
-    monkeypatch.setattr(clients, "STUCK_S", 0.5)
+    monkeypatch.setattr(clients, "STALLED_WRITE_TIMEOUT_S", 0.5)
 
     async def scene():
         async with Inside(tmp_path, more=1) as w:
@@ -316,11 +316,11 @@
             client = socket.socket()
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             await asyncio.to_thread(client.connect, (HOST, w.listen))
-            hold = Hold(status(500))
+            hold = HeldReply(reply_status(500))
 
             async def reply(seen, writer):
-                first = seen.headers["x-request-id"] == named("r0")
-                await (ok(b"x" * 60_000) if first else hold)(seen, writer)
+                first = seen.headers["x-request-id"] == request_id("r0")
+                await (reply_ok(b"x" * 60_000) if first else hold)(seen, writer)
 
             for backend in w.backends:
                 backend.reply = reply
@@ -332,9 +332,9 @@
             await asyncio.sleep(0.1)
             hold.release.set()
             await asyncio.sleep(0.2)
-            assert sorted(w.seen()) == [named("r0"), named("r1")]
+            assert sorted(w.seen()) == [request_id("r0"), request_id("r1")]
             assert not w.host._requests
-            await until(lambda: not w.host.clients._open)  # it holds no descriptor for ever
+            await wait_until(lambda: not w.host.clients._open)  # it holds no descriptor for ever
             client.close()
 
     run(scene)
@@ -343,7 +343,7 @@
 def test_a_timer_is_never_early():
     # Nothing else happens in this gateway: what the module's timer misses is not made up by other events.
     async def scene():
-        async with World({"b1": Backend(Hold())}) as w:
+        async with World({"b1": Backend(HeldReply())}) as w:
             for i in range(20):
                 answer = await w.call(request("pay", name=f"r{i}", X_Timeout="0.1"))
                 assert answer.status in (502, 503)
@@ -357,12 +357,12 @@
         async with World({"b1": Backend()}) as w:
             client = await w.connect()
             client.send(request())
-            assert (await client.answer()).status == 200
-            w.program.kill()
-            await w.program.wait()
+            assert (await client.read_response()).status == 200
+            w.process.kill()
+            await w.process.wait()
             await w.start()
             assert (await w.call(request(name="r2"))).status == 200
-            await until(lambda: len(w.backends["b1"].seen) == 2)
+            await wait_until(lambda: len(w.backends["b1"].requests) == 2)
 
     run(scene)
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -6,7 +6,7 @@
 import pytest
 
 from elderhub import lists
-from elderhub.lists import Reader
+from elderhub.lists import ListReader
 
 ENTRIES = [
     {"instanceId": f"s-{i}", "zone": 'a"}]\\{[', "weight": 1.5e-3 * i, "more": {"of": [{}, [i], "é\u2028\n"]}}
@@ -22,7 +22,7 @@
 
 
 def parts(data, size, most):
-    reader = Reader()
+    reader = ListReader()
     for at in range(0, len(data), size):
         reader.feed(data[at : at + size])
         while (part := reader.read(most)) is not None:
@@ -34,7 +34,7 @@
     whole, entries = [], []
     for part in parts(data, size, most):
         entries += part.entries
-        if part.ends:
+        if part.is_last:
             whole.append((entries, part.generation, part.reset))
             entries = []
     return whole
@@ -53,15 +53,15 @@
 
 
 def test_entries_are_handed_on_as_they_come_and_so_many_at_once_at_most():
-    reader, data = Reader(), stream(WHOLE)
+    reader, data = ListReader(), stream(WHOLE)
     reader.feed(data[: len(data) // 2])
     early = list(iter(lambda: reader.read(4), None))
-    assert sum(len(part.entries) for part in early) >= 14 and not any(part.ends for part in early)
-    assert all(part.generation == 41 and part.reset for part in early) and reader.inside
+    assert sum(len(part.entries) for part in early) >= 14 and not any(part.is_last for part in early)
+    assert all(part.generation == 41 and part.reset for part in early) and reader.in_object
     assert max(len(part.entries) for part in parts(data, len(data), 4)) == 4
     reader.feed(data[len(data) // 2 :])
-    assert list(iter(lambda: reader.read(4), None))[-1].ends
-    assert not reader.inside and not reader.any()
+    assert list(iter(lambda: reader.read(4), None))[-1].is_last
+    assert not reader.in_object and not reader.has_unread()
 
 
 @pytest.mark.parametrize(
@@ -101,19 +101,19 @@
     ],
 )
 def test_what_never_ends_is_refused_before_much_of_it_is_kept(monkeypatch, begin, piece):
-    monkeypatch.setattr(lists, "ENTRIES_MOST", 10000)
-    reader, size = Reader(), 1 << 12
+    monkeypatch.setattr(lists, "MAX_ENTRIES", 10000)
+    reader, size = ListReader(), 1 << 12
     reader.feed(begin)
     with pytest.raises(ValueError):
         for _ in range(1000):
             reader.feed(piece * (size // len(piece)))
             for part in iter(lambda: reader.read(8), None):
                 assert len(part.entries) <= 8
-            assert len(reader._text) - reader._at <= lists.ENTRY_MOST + size
+            assert len(reader._text) - reader._position <= lists.MAX_ENTRY_CHARS + size
 
 
 def test_white_space_is_not_kept():
-    reader = Reader()
+    reader = ListReader()
     for space in itertools.islice(itertools.cycle([b"\n", b" " * 5000]), 100):
         reader.feed(space)
-        assert reader.read(8) is None and not reader.any()
+        assert reader.read(8) is None and not reader.has_unread()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -4,7 +4,7 @@
 import socket
 from types import SimpleNamespace
 
-from world import HOST, Backend, World, free_port, request, run, until
+from world import HOST, Backend, World, free_port, request, run, wait_until
 
 from cobaltline import interface as io
 from elderhub.peers import Peers
@@ -36,7 +36,7 @@
             known.sendto(b"x" * 257, (HOST, own))
             known.sendto(b"", (HOST, own))
             known.sendto(b"hi", (HOST, own))
-            await until(lambda: heard and heard[-1].payload == b"hi")
+            await wait_until(lambda: heard and heard[-1].payload == b"hi")
             assert heard == [io.PeerMessage(2, b""), io.PeerMessage(2, b"hi")]
             transport.close()
 
@@ -57,16 +57,16 @@
 
         peers = Peers(config(own, [first, second]), lambda message: None)
         transport, _ = await endpoint(peers, own)
-        peers.tell(io.SendPeerMessage(b"x" * 257))
-        peers.tell(io.SendPeerMessage(b"two", 2))
+        peers.send(io.SendPeerMessage(b"x" * 257))
+        peers.send(io.SendPeerMessage(b"two", 2))
         assert await got(sockets[1]) == b"two"
-        peers.tell(io.SendPeerMessage(b"each"))
+        peers.send(io.SendPeerMessage(b"each"))
         assert [await got(one) for one in sockets[:2]] == [b"each"] * 2
         transport.close()
         own = free_port(DATAGRAM)
         peers = Peers(config(own, [first, second], everybody), lambda message: None)
         transport, _ = await endpoint(peers, own)
-        peers.tell(io.SendPeerMessage(b"all"))
+        peers.send(io.SendPeerMessage(b"all"))
         assert await got(sockets[2]) == b"all"
         transport.close()
         for one in sockets:
@@ -82,12 +82,12 @@
             for writer in w.counter.writers:
                 writer.transport.abort()
             for junk in (b"", b"junk", b"\x01\x02" + bytes(250)):
-                w.peer.transport.sendto(junk, (HOST, w.peer_listen))
+                w.peer.transport.sendto(junk, (HOST, w.peer_listen_port))
             for i in range(8):  # customers of which some have their home at the other gateway
                 customer = f"{i:016x}"
                 asyncio.create_task(w.call(request(plan="basic", customer=customer, X_Timeout="2")))
-            data, sender = await w.peer.heard.get()
-            assert 0 < len(data) <= 256 and sender == (HOST, w.peer_listen)
+            data, sender = await w.peer.received.get()
+            assert 0 < len(data) <= 256 and sender == (HOST, w.peer_listen_port)
             assert (await w.call(request())).status == 200
             assert "Traceback" not in w.log.read_text()
 
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -39,7 +39,7 @@
 def test_a_restarted_gateway_is_ready_in_time(what):
     async def scene():
         backends = {} if what in ("the list is empty", "all at once") else {"b1": Backend()}
-        world = World(backends, waits=False)
+        world = World(backends, waits_until_ready=False)
         silent = "silent" in what or "late" in what or what == "all at once"
         world.discovery.mute = silent
         world.known = {"instances": []} if "nothing" in what or "empty" in what else None
@@ -72,9 +72,9 @@
 
             tasks = [asyncio.create_task(load()) for _ in range(20)]
             await asyncio.sleep(0.5)
-            w.program.kill()
-            await w.program.wait()
-            w.waits = False
+            w.process.kill()
+            await w.process.wait()
+            w.waits_until_ready = False
             await w.start()
             await ready(w)
             for task in tasks:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -5,7 +5,7 @@
 
 import pytest
 from test_counter import Caller
-from world import Backend, Counter, Discovery, Hold, World, ok, request, run, until
+from world import Backend, Counter, Discovery, HeldReply, World, reply_ok, request, run, wait_until
 
 from cobaltline import interface as io
 from elderhub import counter as counting
@@ -14,7 +14,7 @@
 def test_a_reload_goes_by_the_file_and_loses_nothing():
     # The old watch and the old links stay open and silent: only the signal tells.
     async def scene():
-        hold, new = Hold(ok(b"old")), Backend(ok(b"new"))
+        hold, new = HeldReply(reply_ok(b"old")), Backend(reply_ok(b"new"))
         async with World({"b1": Backend(hold)}) as w:
             discovery, counter = await Discovery().start(), await Counter().start()
             await new.start()
@@ -23,14 +23,14 @@
             client.send(request())
             await hold.reached.wait()
             w.write_config(discovery=f"127.0.0.1:{discovery.port}", counter=f"127.0.0.1:{counter.port}")
-            w.program.send_signal(signal.SIGHUP)
-            await discovery.watched.wait()
+            w.process.send_signal(signal.SIGHUP)
+            await discovery.watch_opened.wait()
             assert discovery.targets == ["/v1/servers?watch=1"]
-            await until(lambda: counter.connections == counting.LINKS)
+            await wait_until(lambda: counter.connections == counting.CONNECTION_COUNT)
             while (await w.call(request())).body != b"new":  # until its list has come
                 await asyncio.sleep(0.01)
             hold.release.set()
-            assert (await client.answer()).body == b"old"
+            assert (await client.read_response()).body == b"old"
             while not counter.lines:
                 assert (await w.call(request(plan="basic"))).status in (200, 429)
             new.server.close()
@@ -44,12 +44,12 @@
         start = await Discovery().start()
         world.environ = {"NODE_DISCOVERY": f"127.0.0.1:{start.port}"}
         world.known = {"instances": []}
-        world.waits = False
+        world.waits_until_ready = False
         async with world as w:
-            await start.watched.wait()
+            await start.watch_opened.wait()
             assert not w.discovery.targets
-            w.program.send_signal(signal.SIGHUP)
-            await w.discovery.watched.wait()
+            w.process.send_signal(signal.SIGHUP)
+            await w.discovery.watch_opened.wait()
             assert (await until_ready(w)).status == 200
 
     run(scene)
@@ -69,8 +69,8 @@
     async def scene():
         async with World({"b1": Backend()}) as w:
             w.write_config().write_text(text)
-            w.program.send_signal(signal.SIGHUP)
-            await until(lambda: b"not reloaded" in w.log.read_bytes())
+            w.process.send_signal(signal.SIGHUP)
+            await wait_until(lambda: b"not reloaded" in w.log.read_bytes())
             assert w.log.read_text().count("not reloaded") == 1
             assert (await w.call(request())).status == 200
             assert len(w.discovery.targets) == 1
@@ -81,8 +81,8 @@
 def test_a_signal_during_the_start_does_not_kill():
     async def scene():
         patch = (
-            "import os, signal\nload = main.load\n"
-            "main.load = lambda e: (os.kill(os.getpid(), signal.SIGHUP), load(e))[1]"
+            "import os, signal\nload = main.load_config\n"
+            "main.load_config = lambda e: (os.kill(os.getpid(), signal.SIGHUP), load(e))[1]"
         )
         async with World({"b1": Backend()}, patch=patch) as w:
             assert (await w.call(request())).status == 200
@@ -91,7 +91,7 @@
 
 
 def test_calls_at_the_old_place_keep_their_outcome_and_their_order(monkeypatch):
-    monkeypatch.setattr(counting, "LINKS", 1)
+    monkeypatch.setattr(counting, "CONNECTION_COUNT", 1)
 
     async def scene():
         old, new, release = await Counter().start(), await Counter().start(), asyncio.Event()
@@ -103,8 +103,8 @@
         caller = Caller(old.port)
         await caller.up()
         caller.call("a")
-        caller.counter.move(("127.0.0.1", new.port))
-        await until(lambda: new.connections == 1)
+        caller.counter.set_address(("127.0.0.1", new.port))
+        await wait_until(lambda: new.connections == 1)
         caller.call("a")  # must not overtake the one before
         release.set()
         assert await caller.outcomes(2) == [io.Outcome.OK] * 2
@@ -117,7 +117,7 @@
 
 
 def test_a_link_that_ends_after_the_move_is_not_made_anew(monkeypatch):
-    monkeypatch.setattr(counting, "LINKS", 1)
+    monkeypatch.setattr(counting, "CONNECTION_COUNT", 1)
 
     async def scene():
         old, new = await Counter().start(), await Counter().start()
@@ -125,8 +125,8 @@
         caller = Caller(old.port)
         await caller.up()
         caller.call("a")
-        await until(lambda: old.lines)
-        caller.counter.move(("127.0.0.1", new.port))
+        await wait_until(lambda: old.lines)
+        caller.counter.set_address(("127.0.0.1", new.port))
         old.writers[0].transport.abort()
         assert await caller.outcomes() == [io.Outcome.RESET]
         caller.call("a")
--- a/tests/test_rules_seen.py
+++ b/tests/test_rules_seen.py
@@ -3,7 +3,15 @@
 import pytest
 
 from rosehitch import rules
-from rosehitch.rules import ANSWERS, AT_ONCE, DRAINS, INSIDE, QUOTAS, UNSAFE, Rules
+from rosehitch.rules import (
+    DRAIN_RULE,
+    NO_OVERLAP_RULE,
+    ONE_ANSWER_RULE,
+    QUOTA_RULE,
+    UNSAFE_ONCE_RULE,
+    WITHIN_QUOTA_RULE,
+    Rules,
+)
 
 PLANS = {
     "free": {},
@@ -18,15 +26,15 @@
         super().__init__(PLANS, DRAIN_S)
 
     def ask(self, name, safe=True, plan="free", last_s=LAST_S):
-        self.asked(name, "c", plan, safe, last_s)
+        self.record_request(name, "c", plan, safe, last_s)
 
     def reach(self, name, backend="a", at=0.1, began=None):
-        return self.reached(name, backend, at if began is None else began, at)
+        return self.record_attempt(name, backend, at if began is None else began, at)
 
     def serve(self, attempt, at=0.2):
         body = attempt.request.encode()
-        self.served(attempt, body)
-        self.answered(attempt.request, 200, body, at)
+        self.record_served(attempt, body)
+        self.record_response(attempt.request, 200, body, at)
 
     def one(self, name, plan="free", at=0.1):
         self.ask(name, plan=plan, last_s=at + LAST_S)
@@ -38,34 +46,34 @@
     seen.ask("r", safe=safe)
     first = seen.reach("r")
     if how == "closed":
-        seen.closed(first, 0.15)
+        seen.record_connection_end(first, 0.15)
     elif how == "turned away":
-        seen.turned_away(first)
+        seen.record_rejected(first)
     second = seen.reach("r", "b", 0.2)
     if how == "closed, seen late":
-        seen.closed(first, 0.2 + rules.SEEN_S)
+        seen.record_connection_end(first, 0.2 + rules.OBSERVATION_DELAY_S)
     elif how == "closed after":
-        seen.closed(first, 0.21 + rules.SEEN_S)
+        seen.record_connection_end(first, 0.21 + rules.OBSERVATION_DELAY_S)
     seen.serve(second, 0.3)
 
 
 def refused(seen, how):
     seen.ask("r", safe=False)
     first = seen.reach("r")
-    (seen.turned_away(first) if how == "turned away" else seen.closed(first, 0.15))
-    seen.answered("r", 503, b"", 0.2)
+    (seen.record_rejected(first) if how == "turned away" else seen.record_connection_end(first, 0.15))
+    seen.record_response("r", 503, b"", 0.2)
 
 
 def drained(seen, began):
-    seen.told("a", 1.0)
+    seen.record_backend_leaving("a", 1.0)
     seen.ask("r")
     seen.serve(seen.reach("r", at=began + 0.5, began=began), LAST_S)
 
 
 def answered(seen, status, body, at):
     seen.ask("r")
-    seen.served(seen.reach("r"), b"theirs")
-    seen.answered("r", status, body, at)
+    seen.record_served(seen.reach("r"), b"theirs")
+    seen.record_response("r", status, body, at)
 
 
 def flood(seen, plan, count, each_s):
@@ -81,38 +89,38 @@
         refused = n < 100 * share
         seen.ask(f"r{n}", plan="quota" if refused else "free")
         if refused:
-            seen.answered(f"r{n}", status, b"", 0.2)
+            seen.record_response(f"r{n}", status, b"", 0.2)
         else:
             seen.serve(seen.reach(f"r{n}", at=0.2), 0.2)
 
 
 CASES = [
     (lambda s: s.one("r"), None),
-    (lambda s: s.ask("r"), ANSWERS),
-    (lambda s: s.reach("r"), ANSWERS),
+    (lambda s: s.ask("r"), ONE_ANSWER_RULE),
+    (lambda s: s.reach("r"), ONE_ANSWER_RULE),
     (lambda s: answered(s, 200, b"theirs", 2.4), None),
-    (lambda s: answered(s, 200, b"theirs", 2.6), ANSWERS),
-    (lambda s: answered(s, 200, b"ours", 0.2), ANSWERS),
-    (lambda s: answered(s, 0, b"", 0.2), ANSWERS),
+    (lambda s: answered(s, 200, b"theirs", 2.6), ONE_ANSWER_RULE),
+    (lambda s: answered(s, 200, b"ours", 0.2), ONE_ANSWER_RULE),
+    (lambda s: answered(s, 0, b"", 0.2), ONE_ANSWER_RULE),
     (lambda s: answered(s, 502, b"", 0.2), None),
-    (lambda s: s.surplus(1), ANSWERS),
+    (lambda s: s.record_unsolicited(1), ONE_ANSWER_RULE),
     (lambda s: again(s, True, "closed"), None),
     (lambda s: again(s, True, "closed, seen late"), None),
-    (lambda s: again(s, True, "closed after"), AT_ONCE),
-    (lambda s: again(s, True, "out"), AT_ONCE),
+    (lambda s: again(s, True, "closed after"), NO_OVERLAP_RULE),
+    (lambda s: again(s, True, "out"), NO_OVERLAP_RULE),
     (lambda s: again(s, False, "turned away"), None),
-    (lambda s: again(s, False, "closed"), UNSAFE),
+    (lambda s: again(s, False, "closed"), UNSAFE_ONCE_RULE),
     (lambda s: refused(s, "turned away"), None),
-    (lambda s: refused(s, "closed"), UNSAFE),
+    (lambda s: refused(s, "closed"), UNSAFE_ONCE_RULE),
     (lambda s: drained(s, 2.04), None),
-    (lambda s: drained(s, 2.06), DRAINS),
+    (lambda s: drained(s, 2.06), DRAIN_RULE),
     (lambda s: flood(s, "hard", 9, 0.0), None),
-    (lambda s: flood(s, "hard", 10, 0.0), QUOTAS),
+    (lambda s: flood(s, "hard", 10, 0.0), QUOTA_RULE),
     (lambda s: flood(s, "quota", 20, 0.5), None),
-    (lambda s: flood(s, "quota", 20, 0.25), QUOTAS),
+    (lambda s: flood(s, "quota", 20, 0.25), QUOTA_RULE),
     (lambda s: turned_down(s, 429, 4, 0.1), None),
-    (lambda s: turned_down(s, 429, 4, 0.11), INSIDE),
-    (lambda s: turned_down(s, 429, 2, 0.11), INSIDE),
+    (lambda s: turned_down(s, 429, 4, 0.11), WITHIN_QUOTA_RULE),
+    (lambda s: turned_down(s, 429, 2, 0.11), WITHIN_QUOTA_RULE),
     (lambda s: turned_down(s, 429, 1, 0.5), None),
     (lambda s: turned_down(s, 503, 4, 0.5), None),
 ]
@@ -122,12 +130,12 @@
 def test_a_rule_is_found_broken_where_it_is(scene, broken):
     seen = Seen()
     scene(seen)
-    seen.close(10.0, 0.0)
+    seen.evaluate(10.0, 0.0)
     assert set(seen.broken) == ({broken} - {None})
 
 
 def test_what_may_have_been_seen_late_does_not_count_as_late():
     seen = Seen()
     drained(seen, 2.3)
-    seen.close(10.0, 0.3)
+    seen.evaluate(10.0, 0.3)
     assert not seen.broken
--- a/tests/test_scale_real.py
+++ b/tests/test_scale_real.py
@@ -14,8 +14,9 @@
     return f"""
 import time
 from elderhub import host
-listed = host.Host.listed
-host.Host.listed = lambda self, found: (found.event.backends and time.sleep({ms / 1000}), listed(self, found))
+listed = host.Host.apply_listing
+host.Host.apply_listing = lambda self, found: (
+    found.event.backends and time.sleep({ms / 1000}), listed(self, found))
 """
 
 
@@ -90,7 +91,7 @@
         agent.roster.prepare(1)
         assert await real.lists([agent], agent.roster, 1, real.LIMIT_S) == (1, False)
 
-    with_gateway(scene, patch="from elderhub import lists\nlists.ENTRIES_MOST = 10\n")
+    with_gateway(scene, patch="from elderhub import lists\nlists.MAX_ENTRIES = 10\n")
 
 
 def test_lists_that_are_taken_are_told_as_taken():
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -12,13 +12,13 @@
 def test_all_rules_are_kept_through_a_soak(seed):
     report = uvloop.run(play(seed, SECONDS))
     assert not report.broken, report.line()
-    assert report.asked > 500 and report.restarts > 0
-    assert report.ends[200] > 0.5 * report.asked
+    assert report.requests > 500 and report.restarts > 0
+    assert report.responses[200] > 0.5 * report.requests
 
 
 def test_a_broken_rule_is_told_with_its_first_example():
     report = Report(
-        seed=7, asked=2, ends={200: 1, 0: 1}, broken={"one final answer each": (1, "r1 got none")}
+        seed=7, requests=2, responses={200: 1, 0: 1}, broken={"one final answer each": (1, "r1 got none")}
     )
     assert report.line().startswith("seed 7: 2 requests, 1 by 0, 1 by 200;")
     assert report.line().endswith("broken: one final answer each, 1 times: r1 got none")
--- a/tests/test_time_told.py
+++ b/tests/test_time_told.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from world import Backend, Hold, World, named, request, run, until
+from world import Backend, HeldReply, World, request, request_id, run, wait_until
 
 SLACK_S = 0.15  # the protocol's
 ROUNDING_S = 0.01
@@ -16,7 +16,7 @@
 
 def told(backend):
     """By when the backend was told that its last request is given up."""
-    return float(backend.seen[-1].headers["x-timeout"]) + backend.seen[-1].at
+    return float(backend.requests[-1].headers["x-timeout"]) + backend.requests[-1].received_at
 
 
 @pytest.mark.parametrize("kept", [True, False], ids=["kept connection", "new connection"])
@@ -27,14 +27,14 @@
             client = await w.connect()
             if kept:
                 client.send(request())
-                assert (await client.answer()).status == 200
+                assert (await client.read_response()).status == 200
             await asyncio.sleep(0.2)
-            w.program.send_signal(signal.SIGSTOP)
+            w.process.send_signal(signal.SIGSTOP)
             client.send(request())
             sent_at = time.monotonic()
             await asyncio.sleep(0.5)
-            w.program.send_signal(signal.SIGCONT)
-            assert (await client.answer()).status == 200
+            w.process.send_signal(signal.SIGCONT)
+            assert (await client.read_response()).status == 200
             assert told(backend) <= sent_at + PATIENCE_S + SLACK_S + ROUNDING_S
 
     run(scene)
@@ -42,23 +42,25 @@
 
 def test_a_request_that_waited_in_the_queue_of_the_listening_socket_has_less_time_left():
     async def scene():
-        hold = Hold()
+        hold = HeldReply()
         fleet = {f"b{i}": Backend(hold) for i in range(32)}  # with fewer, attempts out would be limited
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 64}  # 16 connections of clients
         async with World(fleet, limits=limits) as w:
             busy = [await w.connect() for _ in range(16)]
             for client in busy:
                 client.send(request())
-            await until(lambda: sum(len(backend.seen) for backend in fleet.values()) >= 8)
+            await wait_until(lambda: sum(len(backend.requests) for backend in fleet.values()) >= 8)
             await asyncio.sleep(0.2)
             late = await w.connect()
             late.send(request(name="late"))
             sent_at = time.monotonic()
             await asyncio.sleep(1.0)
             hold.release.set()
-            assert (await late.answer()).status == 200
+            assert (await late.read_response()).status == 200
             (found,) = (
-                b for b in fleet.values() if b.seen and b.seen[-1].headers["x-request-id"] == named("late")
+                b
+                for b in fleet.values()
+                if b.requests and b.requests[-1].headers["x-request-id"] == request_id("late")
             )
             assert told(found) <= sent_at + PATIENCE_S + SLACK_S + ROUNDING_S
             for client in busy:
@@ -75,13 +77,13 @@
             client = await w.connect()
             if spoke:
                 client.send(request())
-                assert (await client.answer()).status == 200
+                assert (await client.read_response()).status == 200
             await asyncio.sleep(0.2)
-            w.program.send_signal(signal.SIGSTOP)
+            w.process.send_signal(signal.SIGSTOP)
             client.send(request())
             await asyncio.sleep(2.5)
-            w.program.send_signal(signal.SIGCONT)
-            assert (await client.answer()).status == 200
+            w.process.send_signal(signal.SIGCONT)
+            assert (await client.read_response()).status == 200
 
     run(scene)
 
@@ -94,9 +96,9 @@
 
             async def held_up():
                 while True:
-                    w.program.send_signal(signal.SIGSTOP)
+                    w.process.send_signal(signal.SIGSTOP)
                     await asyncio.sleep(0.15)
-                    w.program.send_signal(signal.SIGCONT)
+                    w.process.send_signal(signal.SIGCONT)
                     await asyncio.sleep(0.05)
 
             holds = asyncio.create_task(held_up())
@@ -106,11 +108,11 @@
                 calls.append(asyncio.create_task(w.call(request())))
                 await asyncio.sleep(0.02)
                 if k == 30:
-                    w.discovery.tell(w.discovery.entry("b1", leaving.port, "Terminating"))
+                    w.discovery.publish(w.discovery.entry("b1", leaving.port, "Terminating"))
                     told_at = time.monotonic()
             assert {answer.status for answer in await asyncio.gather(*calls)} <= {200, 503}
             holds.cancel()
-            assert leaving.seen and staying.seen[-1].at > told_at + GRACE_S
-            assert leaving.seen[-1].at <= told_at + GRACE_S
+            assert leaving.requests and staying.requests[-1].received_at > told_at + GRACE_S
+            assert leaving.requests[-1].received_at <= told_at + GRACE_S
 
     run(scene)
--- a/tests/world.py
+++ b/tests/world.py
@@ -19,7 +19,8 @@
 ROOT = Path(__file__).parent.parent
 LIMIT_S = 30.0  # for anything that is waited for: generous, as it only tells a hang
 CUSTOMER = "00000000b4d65521"
-ENDS = (ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError)  # of a connection or a test
+# of a connection or a test
+DISCONNECT_ERRORS = (ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError)
 
 CLASSES = [
     {"name": "read", "idempotency": "safe", "promiseMs": 4000.0, "giveUpMs": 8000.0, "worth": 1.0},
@@ -68,7 +69,7 @@
 
 
 @dataclass
-class Seen:
+class ReceivedRequest:
     """A request as a backend read it."""
 
     method: str
@@ -76,28 +77,28 @@
     headers: dict
     body: bytes
     connection: int
-    at: float = field(default_factory=time.monotonic)
+    received_at: float = field(default_factory=time.monotonic)
 
 
-def ok(body=b"beds", head=b""):
+def reply_ok(body=b"beds", head=b""):
     async def reply(seen, writer):
         writer.write(b"HTTP/1.1 200 OK\r\n%bContent-Length: %d\r\n\r\n%b" % (head, len(body), body))
 
     return reply
 
 
-def status(code, head=b""):
+def reply_status(code, head=b""):
     async def reply(seen, writer):
         writer.write(b"HTTP/1.1 %d Odd\r\n%bContent-Length: 0\r\n\r\n" % (code, head))
 
     return reply
 
 
-def turned_away():
-    return status(503, b"X-Not-Processed: 1\r\n")
+def reply_not_processed():
+    return reply_status(503, b"X-Not-Processed: 1\r\n")
 
 
-def broken(sent=b""):
+def reply_reset(sent=b""):
     """Resets the connection in place of the (rest of the) answer."""
 
     async def reply(seen, writer):
@@ -117,7 +118,7 @@
     writer.transport.abort()
 
 
-def until_end(*parts):
+def reply_until_close(*parts):
     """Answers with these bytes, and then ends the connection in order."""
 
     async def reply(seen, writer):
@@ -130,11 +131,11 @@
     return reply
 
 
-class Hold:
+class HeldReply:
     """Answers only when released."""
 
     def __init__(self, then=None):
-        self.reached, self.release, self._then = asyncio.Event(), asyncio.Event(), then or ok()
+        self.reached, self.release, self._then = asyncio.Event(), asyncio.Event(), then or reply_ok()
 
     async def __call__(self, seen, writer):
         self.reached.set()
@@ -144,7 +145,7 @@
 
 class Backend:
     def __init__(self, reply=None):
-        self.reply, self.seen, self.connections, self.ended = reply or ok(), [], 0, 0
+        self.reply, self.requests, self.connections, self.closed_connections = reply or reply_ok(), [], 0, 0
         self.writers, self.readers = [], []
 
     async def start(self):
@@ -157,17 +158,17 @@
         number = self.connections
         self.writers.append(writer)
         self.readers.append(reader)
-        with contextlib.suppress(*ENDS):
+        with contextlib.suppress(*DISCONNECT_ERRORS):
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
                 method, target, _ = head[0].split(" ")
                 headers = {k.lower(): v.strip() for k, _, v in (x.partition(":") for x in head[1:] if x)}
                 body = await reader.readexactly(int(headers.get("content-length", 0)))
-                seen = Seen(method, target, headers, body, number)
-                self.seen.append(seen)
+                seen = ReceivedRequest(method, target, headers, body, number)
+                self.requests.append(seen)
                 await self.reply(seen, writer)
                 await writer.drain()
-        self.ended += 1
+        self.closed_connections += 1
         writer.close()
 
 
@@ -185,7 +186,7 @@
     async def _serve(self, reader, writer):
         self.connections += 1
         self.writers.append(writer)
-        with contextlib.suppress(*ENDS):
+        with contextlib.suppress(*DISCONNECT_ERRORS):
             while line := await reader.readline():
                 self.lines.append(line)
                 if line == b"ping\r\n":
@@ -208,8 +209,8 @@
 
     def __init__(self):
         self.generation, self.entries, self.targets, self.writers = 1, {}, [], []
-        self.beats, self.mute, self.sent_beats = True, False, 0
-        self.watched = asyncio.Event()
+        self.sends_heartbeats, self.mute, self.heartbeats_sent = True, False, 0
+        self.watch_opened = asyncio.Event()
 
     async def start(self):
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -232,7 +233,7 @@
         return {"generation": self.generation, "reset": True, "instances": list(self.entries.values())}
 
     async def _serve(self, reader, writer):
-        with contextlib.suppress(*ENDS):
+        with contextlib.suppress(*DISCONNECT_ERRORS):
             head = await reader.readuntil(b"\r\n\r\n")
             self.targets.append(head.split(b" ")[1].decode())
             while self.mute:
@@ -240,12 +241,12 @@
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             self.writers.append(writer)
             self._line(writer, self.listing())
-            self.watched.set()
+            self.watch_opened.set()
             while not writer.is_closing():
                 await asyncio.sleep(1.0)
-                if self.beats:
+                if self.sends_heartbeats:
                     writer.write(b"1\r\n\n\r\n")
-                    self.sent_beats += 1
+                    self.heartbeats_sent += 1
                     await writer.drain()
 
     def _line(self, writer, what):
@@ -254,7 +255,7 @@
         for part in (data[:middle], data[middle:]):
             writer.write(b"%x\r\n%b\r\n" % (len(part), part))
 
-    def tell(self, *entries, reset=False):
+    def publish(self, *entries, reset=False):
         self.generation += 1
         if reset:
             self.entries = {}
@@ -283,13 +284,13 @@
     def send(self, data):
         self.writer.write(data)
 
-    async def answer(self):
+    async def read_response(self):
         head = (await self.reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
         headers = {k.lower(): v.strip() for k, _, v in (x.partition(":") for x in head[1:] if x)}
         body = await self.reader.readexactly(int(headers["content-length"]))
         return Answer(int(head[0].split(" ")[1]), headers, body)
 
-    async def ended(self):
+    async def closed_by_peer(self):
         """Nothing more comes, and the other side has closed."""
         return await self.reader.read() == b""
 
@@ -297,7 +298,7 @@
 NEW = itertools.count(1)
 
 
-def named(name):
+def request_id(name):
     """An id of the protocol's form."""
     return f"{int.from_bytes(name.encode()):016x}"
 
@@ -306,7 +307,7 @@
     method = "GET" if kind == "read" else "POST"
     fields = {
         "Host": "api.internal",
-        "X-Request-ID": named(name or f"n{next(NEW)}"),
+        "X-Request-ID": request_id(name or f"n{next(NEW)}"),
         "X-Priority-Class": kind,
         "Plan": plan,
         "X-Timeout": "8.0",
@@ -323,13 +324,13 @@
 @dataclass
 class World:
     backends: dict = field(default_factory=dict)
-    ports: dict = field(default_factory=dict)  # of backends that are not ours
-    changes: dict = field(default_factory=dict)
+    extra_ports: dict = field(default_factory=dict)  # of backends that are not ours
+    settings_changes: dict = field(default_factory=dict)
     known: dict | None = None
     environ: dict = field(default_factory=dict)
     limits: dict = field(default_factory=lambda: {"cores": 1.0, "memory_mb": 192, "sockets": 1024})
     started: dict = field(default_factory=dict)
-    waits: bool = True  # for the program to be ready
+    waits_until_ready: bool = True  # for the program to be ready
     discovery: Discovery = field(default_factory=Discovery)
     patch: str = ""  # statements that shorten a limit of the program's, or break it
 
@@ -340,12 +341,12 @@
             await backend.start()
             started = self.started.get(name, 0)
             self.discovery.entries[name] = self.discovery.entry(name, backend.port, started=started)
-        for name, port in self.ports.items():
+        for name, port in self.extra_ports.items():
             self.discovery.entries[name] = self.discovery.entry(name, port)
-        self.listen = free_port()
+        self.listen_port = free_port()
         self.peer = DatagramPeer()
         await self.peer.start()
-        self.peer_listen = free_port(socket.SOCK_DGRAM)
+        self.peer_listen_port = free_port(socket.SOCK_DGRAM)
         self.dir = tempfile.TemporaryDirectory()
         self.log = Path(self.dir.name) / "log"
         await self.start()
@@ -354,15 +355,15 @@
     def config(self):
         return {
             "name": "n0",
-            "listen": f"{HOST}:{self.listen}",
+            "listen": f"{HOST}:{self.listen_port}",
             "seed": "8c1f30d27a5be964",
             "discovery": f"127.0.0.1:{self.discovery.port}",
             "counter": f"127.0.0.1:{self.counter.port}",
             "limits": self.limits,
-            "peer_listen": f"{HOST}:{self.peer_listen}",
-            "peers": [f"{HOST}:{self.peer_listen}", f"127.0.0.1:{self.peer.port}"],
+            "peer_listen": f"{HOST}:{self.peer_listen_port}",
+            "peers": [f"{HOST}:{self.peer_listen_port}", f"127.0.0.1:{self.peer.port}"],
             "known": self.known or self.discovery.listing(),
-            "settings": settings(**self.changes),
+            "settings": settings(**self.settings_changes),
         }
 
     def command(self):
@@ -379,29 +380,29 @@
     async def start(self):
         env = dict(os.environ, NODE_CONFIG=str(self.write_config()), **self.environ)
         with open(self.log, "ab") as log:
-            self.program = await asyncio.create_subprocess_exec(
+            self.process = await asyncio.create_subprocess_exec(
                 sys.executable, *self.command(), cwd=ROOT, env=env, stdout=log, stderr=log
             )
         async with asyncio.timeout(LIMIT_S):
-            while self.waits and await self.health() != 200:
+            while self.waits_until_ready and await self.health() != 200:
                 await asyncio.sleep(0.02)
 
     async def health(self):
-        assert self.program.returncode is None, self.log.read_text()
+        assert self.process.returncode is None, self.log.read_text()
         try:
             client = await self.connect()
         except ConnectionError:
             return None
         client.send(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
         try:
-            return (await client.answer()).status
+            return (await client.read_response()).status
         finally:
             client.writer.close()
 
     async def __aexit__(self, *error):
-        if self.program.returncode is None:
-            self.program.kill()
-            await self.program.wait()
+        if self.process.returncode is None:
+            self.process.kill()
+            await self.process.wait()
         for server in (self.counter, self.discovery, *self.backends.values()):
             server.server.close()
             for writer in server.writers:
@@ -412,24 +413,24 @@
         self.dir.cleanup()
 
     async def connect(self):
-        return Connection(*await asyncio.open_connection(HOST, self.listen))
+        return Connection(*await asyncio.open_connection(HOST, self.listen_port))
 
     async def call(self, data):
         """One request on a connection of its own."""
         client = await self.connect()
         client.send(data)
-        answer = await client.answer()
+        answer = await client.read_response()
         client.writer.close()
         return answer
 
     async def stop(self):
-        self.program.send_signal(signal.SIGTERM)
-        return await self.program.wait()
+        self.process.send_signal(signal.SIGTERM)
+        return await self.process.wait()
 
 
 class DatagramPeer(asyncio.DatagramProtocol):
     def __init__(self):
-        self.heard = asyncio.Queue()
+        self.received = asyncio.Queue()
 
     async def start(self):
         loop = asyncio.get_running_loop()
@@ -437,7 +438,7 @@
         self.port = self.transport.get_extra_info("sockname")[1]
 
     def datagram_received(self, data, addr):
-        self.heard.put_nowait((data, addr))
+        self.received.put_nowait((data, addr))
 
 
 HOST = "127.0.0.2"  # for ports that are chosen ahead: connections going out take theirs on 127.0.0.1
@@ -450,7 +451,7 @@
 
 
 @contextlib.contextmanager
-def never_up():
+def unreachable_port():
     """A port whose queue is full: connections to it stay half-way."""
     with contextlib.ExitStack() as stack:
         full = stack.enter_context(socket.socket())
@@ -463,7 +464,7 @@
         yield full.getsockname()[1]
 
 
-async def until(true):
+async def wait_until(true):
     """Wait for a state that some event brings about."""
     while not true():
         await asyncio.sleep(0.01)
