--- a/emulator/agent.py
+++ b/emulator/agent.py
@@ -6,7 +6,7 @@
 import re
 
 from cobaltline import interface as io
-from scale.links import SAME_MS
+from scale.links import SAME_ZONE_DELAY_MS
 
 from .checks import SILENT_MS
 from .network import Machine, Stream
@@ -86,7 +86,7 @@
     def _down(self) -> bool:
         """It learns nothing and says nothing."""
         w = self._world
-        return w.discovery.down or not w.links.reach(self.zone, w.links.zones[0])
+        return w.discovery.is_down or not w.links.can_reach(self.zone, w.links.zones[0])
 
     def _beat(self) -> None:
         if not self._down:
@@ -97,7 +97,7 @@
             for watch in self._watches:
                 if watch.begun and not watch.mute:
                     watch.chunk(b"\n")
-        self._world.clock.at(self._world.clock.now + HEARTBEAT_MS, self._beat)
+        self._world.clock.call_at(self._world.clock.now + HEARTBEAT_MS, self._beat)
 
     def listed(self, event: io.BackendsChanged) -> None:
         """Discovery has told it a list. While that is down, it learns nothing."""
@@ -155,7 +155,7 @@
             for backend in self.known.values():  # what was missed is told now, if it did not count before
                 if backend.state is not io.BackendState.UP:
                     self._world.checks.record_backend_change(
-                        self.number, backend.id, True, self._world.clock.now + SAME_MS
+                        self.number, backend.id, True, self._world.clock.now + SAME_ZONE_DELAY_MS
                     )
         watch.stream.send(HEAD)
         named = AFTER.search(watch.head)
--- a/emulator/command.py
+++ b/emulator/command.py
@@ -10,7 +10,7 @@
 import click
 
 from scale import report
-from scale.__main__ import Spread, keep, tell
+from scale.__main__ import SpreadParam, print_progress, write_json
 
 from . import search as searching
 from .faults import KINDS, Fault
@@ -57,7 +57,7 @@
         click.option("--zones", type=click.IntRange(1, 64), default=DEFAULTS.zones, show_default=True),
         click.option(
             "--spread",
-            type=Spread(),
+            type=SpreadParam(),
             default=DEFAULTS.spread,
             show_default="2-4",
             help="Gateways in a customer's set.",
@@ -83,7 +83,7 @@
 
 def told(record: Record, found: dict) -> None:
     """A play on the terminal: figures, latency, and what was broken."""
-    click.echo(report.pairs(found))
+    click.echo(report.format_pairs(found))
     for rule, count in record.broken.items():
         click.echo(f"broken: {rule}, {count} times")
         click.echo(searching.format_trace(record, rule))
@@ -150,12 +150,14 @@
     except ValueError as error:
         raise click.UsageError(str(error)) from None
     began = time.monotonic()
-    tell(f"playing {chosen.gateways} gateways before {chosen.backends} backends for {chosen.seconds:g} s")
+    print_progress(
+        f"playing {chosen.gateways} gateways before {chosen.backends} backends for {chosen.seconds:g} s"
+    )
     record = play(chosen)
-    tell(f"played in {time.monotonic() - began:.1f} s")
+    print_progress(f"played in {time.monotonic() - began:.1f} s")
     found = results(record)
     told(record, found)
-    keep(
+    write_json(
         file,
         {
             "again": searching.replay_expression(chosen),
@@ -202,7 +204,7 @@
         base = replace(DEFAULTS, **options)
     except ValueError as error:
         raise click.UsageError(str(error)) from None
-    found = searching.search(base, seed, for_s, kinds, tell)
+    found = searching.search(base, seed, for_s, kinds, print_progress)
     if found is None:
         click.echo("no rule broke")
         return
--- a/emulator/faults.py
+++ b/emulator/faults.py
@@ -62,20 +62,20 @@
 
 
 def _over(world, fault: Fault, call: Callable, *args) -> None:
-    world.clock.at(world.clock.now + fault.for_s * 1000.0, call, *args)
+    world.clock.call_at(world.clock.now + fault.for_s * 1000.0, call, *args)
 
 
 def _kill(world, fault: Fault, rng: Random) -> None:
     for gateway in _gateways(world, fault, rng):
-        world.kill(gateway.number)
-        world.clock.at(world.clock.now + DOWN_MS, world.restart, gateway.number)
+        world.kill_gateway(gateway.number)
+        world.clock.call_at(world.clock.now + DOWN_MS, world.restart_gateway, gateway.number)
 
 
 def _drain(world, fault: Fault, rng: Random) -> None:
     found = _gateways(world, fault, rng)
     for number, gateway in enumerate(found):
         at = world.clock.now + fault.for_s * 1000.0 * number / len(found)
-        world.clock.at(at, _drain_one, world, gateway)
+        world.clock.call_at(at, _drain_one, world, gateway)
 
 
 def _drain_one(world, gateway) -> None:
@@ -89,9 +89,9 @@
     if gateway.life != life:
         return
     if gateway.running:
-        world.clock.at(world.clock.now + DOWN_MS, _again, world, gateway, life)
+        world.clock.call_at(world.clock.now + DOWN_MS, _again, world, gateway, life)
     else:
-        world.restart(gateway.number)
+        world.restart_gateway(gateway.number)
 
 
 def _stand_still(world, fault: Fault, rng: Random) -> None:
@@ -104,7 +104,7 @@
     if world.clock.now <= until:
         gateway.stand_still(for_ms)
         at = world.clock.now + for_ms + rng.uniform(*STILL_EVERY_MS)
-        world.clock.at(at, _still, world, gateway, for_ms, until, rng)
+        world.clock.call_at(at, _still, world, gateway, for_ms, until, rng)
 
 
 def _watch_silent(world, fault: Fault, rng: Random) -> None:
@@ -118,13 +118,13 @@
 
 
 def _discovery_down(world, fault: Fault, rng: Random) -> None:
-    world.discovery.down = True
+    world.discovery.is_down = True
     _over(world, fault, _discovery_back, world)
 
 
 def _discovery_back(world) -> None:
-    world.discovery.down = False
-    world.discovery.catch_up()
+    world.discovery.is_down = False
+    world.discovery.resync()
 
 
 def _hang(world, fault: Fault, rng: Random) -> None:
@@ -134,15 +134,17 @@
 
 def _slow(world, fault: Fault, rng: Random) -> None:
     for server in _backends(world, fault, rng):
-        server.backend.slow = 1.0 + fault.size
-        _over(world, fault, setattr, server.backend, "slow", 1.0)
+        server.backend.slowdown = 1.0 + fault.size
+        _over(world, fault, setattr, server.backend, "slowdown", 1.0)
 
 
 def _leave(world, fault: Fault, rng: Random) -> None:
     servers = _backends(world, fault, rng)
     for server in servers:
         world.leaving.add(server.backend.name)
-    world.discovery.change([world.entry(server.backend, io.BackendState.DRAINING) for server in servers])
+    world.discovery.apply_changes(
+        [world.backend_entry(server.backend, io.BackendState.DRAINING) for server in servers]
+    )
 
 
 def _answers(name: str) -> Callable:
@@ -167,13 +169,13 @@
 def _crowd(world, fault: Fault, rng: Random) -> None:
     for gateway in _gateways(world, fault, rng):
         for _ in range(round(fault.size)):
-            world.clock.at(
+            world.clock.call_at(
                 world.clock.now + rng.uniform(0.0, CROWD_MS), _idle, world, gateway, fault.for_s * 1000.0
             )
 
 
 def _idle(world, gateway, for_ms: float) -> None:
-    world.clock.at(world.clock.now + for_ms, Idler(gateway.front).close)
+    world.clock.call_at(world.clock.now + for_ms, Idler(gateway.front).close)
 
 
 def _leavers(world, fault: Fault, rng: Random) -> None:
@@ -182,18 +184,18 @@
 
 
 def _zone_cut(world, fault: Fault, rng: Random) -> None:
-    world.links.part([world.links.zones[-1]])
+    world.links.partition([world.links.zones[-1]])
     _over(world, fault, _healed, world)
 
 
 def _healed(world) -> None:
     world.links.heal()
-    world.discovery.catch_up()
+    world.discovery.resync()
 
 
 def _of_fleet(name: str) -> Kind:
     found = WHOLE_FLEET[name]
-    return Kind(found.about, lambda world, fault, rng: found.call(world, fault.for_s * 1000.0))
+    return Kind(found.about, lambda world, fault, rng: found.inject(world, fault.for_s * 1000.0))
 
 
 FEW = (0.02, 0.5)
--- a/emulator/front.py
+++ b/emulator/front.py
@@ -6,7 +6,7 @@
 from collections import deque
 
 from cobaltline import interface as io
-from scale.clients import KINDS, Try
+from scale.clients import REQUEST_KINDS, Try
 
 from . import framing
 from .checks import CLOSED, LATE_MS, READY_MS, TIME_UP, SentRequest
@@ -128,7 +128,7 @@
     def _next(self) -> None:
         while self._waiting and (self.idle or self._open < self._most):
             t, event = self._waiting.popleft()
-            if not t.done and self._world.clock.now < t.deadline:
+            if not t.done and self._world.clock.now < t.deadline_ms:
                 self._begin(t, event)
 
     def opened(self) -> None:
@@ -137,12 +137,12 @@
     def closed(self) -> None:
         self._open -= 1
         if self._waiting:
-            self._world.clock.at(self._world.clock.now, self._next)
+            self._world.clock.call_at(self._world.clock.now, self._next)
 
     def _begin(self, t: Try, event: io.RequestArrived) -> None:
         now = self._world.clock.now
         number = int(t.request[1:])
-        kind = KINDS[t.kind].io_class
+        kind = REQUEST_KINDS[t.kind].request_class
         body = b"" if kind.idempotency is io.Idempotency.SAFE else b"x" * BODIES[number % len(BODIES)]
         method = b"POST" if body else b"GET"
         target = b"/api/%b" % event.customer.encode()
@@ -164,7 +164,7 @@
         length = b"Content-Length: %d\r\n" % len(body) if body else b""
         text = b"%b %b HTTP/1.1\r\n%b%b\r\n%b" % (method, target, head.encode(), length, body)
         self._world.checks.record_request(asked)
-        self._world.clock.at(t.deadline + LATE_MS, self._overdue, asked)
+        self._world.clock.call_at(t.deadline_ms + LATE_MS, self._overdue, asked)
         self._send(asked, text)
 
     def _send(self, asked: SentRequest, text: bytes) -> None:
@@ -253,7 +253,7 @@
             w.checks.add_violation(now, "not ready in time", f"gateway {gateway.number}")
             return
         Health(self, lambda: gateway.ready(life, w.clock.now - since))
-        w.clock.at(now + HEALTH_MS, self._again, life, since)
+        w.clock.call_at(now + HEALTH_MS, self._again, life, since)
 
     def _again(self, life: int, since: float) -> None:
         if not self._gateway.is_ready:
@@ -268,7 +268,7 @@
         self._sock = front.machine.network.connect(
             front.machine, front.address, self._connected, lambda error: self._sock.close()
         )
-        front.machine.network.clock.at(front.machine.network.clock.now + READY_MS, self._sock.close)
+        front.machine.network.clock.call_at(front.machine.network.clock.now + READY_MS, self._sock.close)
 
     def _connected(self) -> None:
         Stream(self._sock, self._heard, lambda reset: self._sock.close()).send(HEALTH)
--- a/emulator/gateway.py
+++ b/emulator/gateway.py
@@ -32,7 +32,7 @@
         self._rng = Random(seed)
         self.address = (f"gateway-{number}", 7070)
         self.agent = Agent(world, number, zone)
-        world.discovery.join(self.agent)
+        world.discovery.subscribe(self.agent)
         self._front = Front(world, self, self.address)
         self.life = 0
         self.running = self.is_ready = False
@@ -88,7 +88,7 @@
         await stop.wait()
         ready.cancel()
         await drain(host, config)
-        self._world.clock.at(self._world.clock.now, self._end, self.life, False)
+        self._world.clock.call_at(self._world.clock.now, self._end, self.life, False)
 
     def _crashed(self, why: str) -> None:
         self._world.crashed(self.number, why)
@@ -124,8 +124,8 @@
         self._term_at = clock.now
         longest = max(kind.timeout_ms for kind in self.settings.classes.values())
         self._machine.event(self._stop.set)
-        clock.at(clock.now + NOTICED_MS, self._noticed, self.life)
-        clock.at(
+        clock.call_at(clock.now + NOTICED_MS, self._noticed, self.life)
+        clock.call_at(
             clock.now + min(longest, MAX_DRAIN_DEADLINE_S * 1000.0) + KILL_MS, self._end, self.life, True
         )
 
--- a/emulator/machine.py
+++ b/emulator/machine.py
@@ -281,7 +281,7 @@
         clock = self.network.clock
         if not self._awake:
             self._awake = True
-            clock.at(max(clock.now, self._still_until), self._turn)
+            clock.call_at(max(clock.now, self._still_until), self._turn)
 
     def stand_still(self, for_ms: float) -> None:
         """It does nothing for so long, while its kernel goes on."""
@@ -300,7 +300,7 @@
             due = clock.now + self.rests_s * 1000.0
             if due < self._wakes_at:
                 self._wakes_at = due
-                clock.at(due, self._wake, due)
+                clock.call_at(due, self._wake, due)
 
     def _wake(self, due: float) -> None:
         if due == self._wakes_at:
--- a/emulator/network.py
+++ b/emulator/network.py
@@ -288,17 +288,17 @@
         return self._digest.hexdigest()
 
     def _delay(self, a: Machine, b: Machine) -> float:
-        return self.links.delay(a.zone, b.zone)
+        return self.links.delay_ms(a.zone, b.zone)
 
     def later(self, sock: Socket, call: Callable, *args) -> None:
         """When a word from this end has reached the other."""
-        self.clock.at(self.clock.now + self._delay(sock.machine, sock.peer.machine), call, *args)
+        self.clock.call_at(self.clock.now + self._delay(sock.machine, sock.peer.machine), call, *args)
 
     def carry(self, sock: Socket, data: bytes | None) -> None:
         """Bytes, an end (None) or a reset, to the other end. Over a cut link they wait until it is healed."""
         if sock.machine.silent or sock.peer is None:
             return
-        if not self.links.reach(sock.machine.zone, sock.peer.machine.zone):
+        if not self.links.can_reach(sock.machine.zone, sock.peer.machine.zone):
             self._held.append((sock, data))
             return
         if data is None or data is RESET or len(data) < 2 or self._rng.random() >= SPLIT_SHARE:
@@ -315,7 +315,7 @@
         self.bytes += len(body) if data is not RESET else 0
         self._digest.update(b"%d %r %d " % (sock.name, sock.due, len(body)))
         self._digest.update(body)
-        self.clock.at(sock.due, sock.peer.arrive, data)
+        self.clock.call_at(sock.due, sock.peer.arrive, data)
 
     def send_held(self) -> None:
         """Links may reach again: what waited goes on."""
@@ -332,7 +332,7 @@
         sock = Socket(machine, self.connections).own()
         wait_ms = self.connect_delay_ms(where, self._rng)
         if wait_ms is not None:
-            self.clock.at(self.clock.now + wait_ms, self._call, sock, where, up, failed, 0)
+            self.clock.call_at(self.clock.now + wait_ms, self._call, sock, where, up, failed, 0)
         return sock
 
     def _call(self, sock: Socket, where: Address, up, failed, turn: int) -> None:
@@ -340,32 +340,32 @@
             return
         there = self.listening.get(where)
         zone = there.machine.zone if there is not None else self._zone(where, sock)
-        if not self.links.reach(sock.machine.zone, zone):
+        if not self.links.can_reach(sock.machine.zone, zone):
             self._call_again(sock, where, up, failed, turn)
             return
-        delay = self.links.delay(sock.machine.zone, zone)
-        self.clock.at(self.clock.now + delay, self._called, sock, where, up, failed, turn, delay)
+        delay = self.links.delay_ms(sock.machine.zone, zone)
+        self.clock.call_at(self.clock.now + delay, self._called, sock, where, up, failed, turn, delay)
 
     def _zone(self, where: Address, sock: Socket) -> str:
         return sock.machine.zone  # of a place where nobody listens: its neighbour says so
 
     def _call_again(self, sock: Socket, where: Address, up, failed, turn: int) -> None:
         if turn < len(SYN_MS):
-            self.clock.at(self.clock.now + SYN_MS[turn], self._call, sock, where, up, failed, turn + 1)
+            self.clock.call_at(self.clock.now + SYN_MS[turn], self._call, sock, where, up, failed, turn + 1)
 
     def _called(self, sock: Socket, where: Address, up, failed, turn: int, delay: float) -> None:
         if sock.closed:
             return
         there = self.listening.get(where)
         if there is None or there.machine.refuses:
-            self.clock.at(self.clock.now + delay, self._refused, sock, failed)
+            self.clock.call_at(self.clock.now + delay, self._refused, sock, failed)
         elif there.machine.silent or there.full():
             self._call_again(sock, where, up, failed, turn)
         else:
             other = Socket(there.machine, -sock.name)
             sock.peer, other.peer, other.up = other, sock, True
             there.queue.append(other)
-            self.clock.at(self.clock.now + delay, self._up, sock, up)
+            self.clock.call_at(self.clock.now + delay, self._up, sock, up)
             there.ready()
 
     def _refused(self, sock: Socket, failed: Callable[[OSError], None]) -> None:
@@ -388,7 +388,7 @@
         self._over = False
         sock.reader, sock.writer = self._read, self._write
         if sock.events():
-            sock.machine.network.clock.at(sock.machine.network.clock.now, self._read)
+            sock.machine.network.clock.call_at(sock.machine.network.clock.now, self._read)
 
     def _read(self) -> None:
         sock = self.sock
--- a/emulator/servers.py
+++ b/emulator/servers.py
@@ -5,7 +5,7 @@
 import re
 
 from scale.backends import KEEPALIVE_MS, Backend, Health
-from scale.hollow import ERRORS
+from scale.hollow import ERROR_SHARE
 
 from . import framing
 from .checks import Attempt, SentRequest
@@ -54,7 +54,7 @@
         if not self.silent:
             for connection in list(self.connections):
                 connection.look(clock.now)
-        clock.at(clock.now + SWEEP_MS, self._sweep)
+        clock.call_at(clock.now + SWEEP_MS, self._sweep)
 
     def stopped(self, health: Health) -> None:
         """The process has died (its connections are reset) or the machine has vanished (nothing is said)."""
@@ -67,7 +67,7 @@
     """A connection of a gateway's to a backend."""
 
     def __init__(self, server: BackendServer, sock: Socket):
-        self._server, self._life = server, server.backend.life
+        self._server, self._life = server, server.backend.incarnation
         self._data = bytearray()
         self._asked: SentRequest | None = None
         self._attempt: Attempt | None = None  # out for it
@@ -84,7 +84,10 @@
             self._end()
 
     def _end(self, reset: bool = False) -> None:
-        if self._server.connections.pop(self, self) is None and self._life == self._server.backend.life:
+        if (
+            self._server.connections.pop(self, self) is None
+            and self._life == self._server.backend.incarnation
+        ):
             self._server.backend.connections -= 1
         self._attempt_over()
         (self.stream.abort if reset else self.stream.close)()
@@ -94,13 +97,13 @@
             self._attempt_over()
             self.stream.abort()
         elif self._attempt is not None:  # out until the gateway gives it up, which nobody here hears
-            self._server.world.accounts[self._asked.trying.customer].out -= 1
+            self._server.world.accounts[self._asked.trying.customer].in_flight -= 1
             self._attempt = None
 
     def _attempt_over(self) -> None:
         if self._attempt is not None:
             self._attempt.ended_at = self._server.world.clock.now
-            self._server.world.accounts[self._asked.trying.customer].out -= 1
+            self._server.world.accounts[self._asked.trying.customer].in_flight -= 1
             self._attempt = None
 
     def _over(self, reset: bool) -> None:
@@ -108,7 +111,7 @@
         self._end()
 
     def _heard(self, data: bytes) -> None:
-        if self._life != self._server.backend.life:  # another process by now
+        if self._life != self._server.backend.incarnation:  # another process by now
             self.stream.abort()
             return
         self._since = self._server.world.clock.now
@@ -139,7 +142,7 @@
             return
         asked, self._attempt = self._asked, _ = found
         told = world.told_start(peer.machine.name, server.backend)
-        if server.backend.weigh(asked.trying.work_ms, told):
+        if server.backend.record_attempt(asked.trying.work_ms, told):
             world.fell(server.backend)
             return
         done = server.backend.serve(asked.trying.work_ms)
@@ -148,15 +151,15 @@
             world.outcomes["full"] += 1
             self._write(TURNED_AWAY)
         else:
-            world.clock.at(max(done, server.hangs_until), self._done, asked, self._attempt)
+            world.clock.call_at(max(done, server.hangs_until), self._done, asked, self._attempt)
 
     def _done(self, asked: SentRequest, attempt: Attempt) -> None:
         server, rng = self._server, self._server.world.rng_answers
         world = server.world
-        if self._attempt is not attempt or server.silent or self._life != server.backend.life:
+        if self._attempt is not attempt or server.silent or self._life != server.backend.incarnation:
             return
         if server.hangs_until > world.clock.now:
-            world.clock.at(server.hangs_until, self._done, asked, attempt)
+            world.clock.call_at(server.hangs_until, self._done, asked, attempt)
             return
         draw = rng.random()
         if draw < server.lost:
@@ -167,7 +170,7 @@
         elif (draw := draw - server.resets) < server.noise:
             world.outcomes["noise"] += 1
             self._write(NOISE)
-        elif rng.random() < ERRORS:
+        elif rng.random() < ERROR_SHARE:
             world.outcomes["error"] += 1
             self._write(FAILED)
         else:
@@ -177,10 +180,10 @@
             answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
             self._write(answer)
             if rng.random() < server.doubled:
-                world.clock.at(world.clock.now + rng.uniform(*SECOND_MS), self._again, answer)
+                world.clock.call_at(world.clock.now + rng.uniform(*SECOND_MS), self._again, answer)
 
     def _again(self, answer: bytes) -> None:
-        if not self._busy and self._life == self._server.backend.life:  # nothing else waits on it
+        if not self._busy and self._life == self._server.backend.incarnation:  # nothing else waits on it
             self.stream.send(answer)
 
     def _write(self, answer: bytes) -> None:
@@ -201,7 +204,7 @@
 
     @property
     def silent(self) -> bool:
-        return self.world.counter.gone
+        return self.world.counter.is_down
 
     def _accept(self) -> None:
         Lines(self, self._listener.accept()[0])
@@ -228,7 +231,7 @@
         if now - self._spoke >= COUNTER_IDLE_MS:
             self._over(False)
         else:
-            self._server.world.clock.at(self._spoke + COUNTER_IDLE_MS, self._look)
+            self._server.world.clock.call_at(self._spoke + COUNTER_IDLE_MS, self._look)
 
     def _over(self, reset: bool) -> None:
         if not self.stream.sock.closed:
@@ -244,7 +247,7 @@
             if line != b"ping":
                 done, answer = self._add(line, now)
             self._free_at = max(self._free_at, done)
-            world.clock.at(self._free_at, self._say, answer)
+            world.clock.call_at(self._free_at, self._say, answer)
 
     def _add(self, line: bytes, now: float) -> tuple[float, bytes]:
         world = self._server.world
--- a/emulator/world.py
+++ b/emulator/world.py
@@ -16,10 +16,10 @@
 import scale.world
 from cobaltline import interface as io
 from scale.backends import Backend, Health
-from scale.hollow import FALL_TOLD
+from scale.hollow import OVERLOAD_INFORMED_SHARE
 from scale.oracle import Account
-from scale.record import figures, histogram
-from scale.world import BEGIN_MS, END_MS
+from scale.record import compute_figures, histogram
+from scale.world import SETTLE_MS, START_MS
 
 from .checks import Attempt, Checks, SentRequest
 from .faults import KINDS as FAULTS
@@ -127,10 +127,10 @@
             return None
         return rng.uniform(0.0, self.late[1]) if rng.random() < self.late[0] else 0.0
 
-    def _set_faults(self) -> None:
+    def _schedule_faults(self) -> None:
         for fault in self.options.faults:
             rng = Random(f"{self.options.seed} {fault}")
-            self.clock.at(BEGIN_MS + fault.at_s * 1000.0, FAULTS[fault.kind].call, self, fault, rng)
+            self.clock.call_at(START_MS + fault.at_s * 1000.0, FAULTS[fault.kind].call, self, fault, rng)
 
     # Parties.
 
@@ -139,46 +139,48 @@
         self.servers[backend.name] = BackendServer(self, backend)
         return backend
 
-    def _gateway(self, number: int):
+    def _create_gateway(self, number: int):
         if number >= self.options.gateways - self.options.hollow:
-            return super()._gateway(number)
+            return super()._create_gateway(number)
         zone = self.links.zones[number % self.options.zones]
         assert self._counter_server is not None  # it stands before the first that calls it
-        found = WholeGateway(self, number, zone, self.settings(number, zone), self.rng.getrandbits(48))
+        found = WholeGateway(
+            self, number, zone, self.gateway_settings(number, zone), self.rng.getrandbits(48)
+        )
         self.whole.append(found)
         return found
 
-    def account(self, customer: int, plan: io.Plan) -> Account:
+    def account_of(self, customer: int, plan: io.Plan) -> Account:
         if customer not in self.accounts and plan.ceiling_rate:
             plan = replace(
                 plan, ceiling_tolerance=plan.ceiling_tolerance + CEILING_SLACK_S * plan.ceiling_rate
             )
-        return super().account(customer, plan)
+        return super().account_of(customer, plan)
 
     # What may happen to them.
 
-    def stop(self, backend: Backend, health: Health) -> None:
-        super().stop(backend, health)
+    def stop_backend(self, backend: Backend, health: Health) -> None:
+        super().stop_backend(backend, health)
         self.servers[backend.name].stopped(health)
 
-    def kill(self, number: int) -> None:
+    def kill_gateway(self, number: int) -> None:
         if number < len(self.whole):
             self.whole[number].kill()
         else:
-            super().kill(number)
+            super().kill_gateway(number)
 
-    def restart(self, number: int) -> None:
+    def restart_gateway(self, number: int) -> None:
         if number >= len(self.whole):
-            super().restart(number)
+            super().restart_gateway(number)
         elif not self.whole[number].running:
             self.whole[number].start()
 
     def fell(self, backend: Backend) -> None:
         """A cold backend was sent more than it bears."""
-        self.record.fallen += 1
-        if backend.told_share() > FALL_TOLD:
+        self.record.overloaded_cold_backends += 1
+        if backend.informed_share() > OVERLOAD_INFORMED_SHARE:
             self.checks.add_violation(self.clock.now, "a cold backend pushed over", backend.name)
-        self.stop(backend, Health.DEAD)
+        self.stop_backend(backend, Health.DEAD)
 
     def crashed(self, gateway: int, why: str) -> None:
         self.checks.add_violation(
@@ -195,7 +197,7 @@
     def told_start(self, machine: str, backend: Backend) -> bool:
         """Whether that gateway's agent has told it of the backend's present life."""
         known = self.whole[int(machine.rpartition("-")[2])].agent.known.get(backend.name)
-        return known is not None and known.started_ms >= backend.started
+        return known is not None and known.started_ms >= backend.start_time_ms
 
     def attempt(
         self, name: str, text: bytes, server: BackendServer, peer
@@ -211,23 +213,25 @@
         self.record.attempts += 1
         if len(asked.attempts) == 1:
             self._first_attempt(t, account, asked, attempt)
-        account.out += 1
+        account.in_flight += 1
         return found
 
     def _first_attempt(self, t, account: Account, asked: SentRequest, attempt: Attempt) -> None:
         r, now = self.record, self.clock.now
         r.decided.record_value(max(1, int((attempt.sent_at - asked.sent_at) * 1000.0)))
-        if account.over_ceiling(now, t.units):
+        if account.exceeds_ceiling(now, t.units):
             self.checks.add_violation(now, "over the ceiling", asked.name)
-        if account.sent(now, t.units):
-            r.inside += 1
-            r.worth_inside += t.worth
+        if account.take_quota(now, t.units):
+            r.sent_inside_quota += 1
+            r.worth_inside_quota += t.worth
         else:
-            r.beyond += 1
-            r.worth_beyond += t.worth
-            r.beyond_cost += t.worth * account.plan.overrun_cost
+            r.sent_beyond_quota += 1
+            r.worth_beyond_quota += t.worth
+            r.beyond_quota_cost += t.worth * account.plan.overrun_cost
         if self.leavers and self._rng_leavers.random() < self.leavers:
-            self.clock.at(now + self._rng_leavers.uniform(0.0, LEAVE_MS), self.whole[asked.gateway].leave, t)
+            self.clock.call_at(
+                now + self._rng_leavers.uniform(0.0, LEAVE_MS), self.whole[asked.gateway].leave, t
+            )
 
     def answered(self, asked: SentRequest, how: str, after_ms: float) -> None:
         """A client has its final answer."""
@@ -239,27 +243,27 @@
         else:
             r.refused += 1
             if not asked.attempts:
-                room, half = self.accounts[t.customer].room(self.clock.now, t.units)
+                room, half = self.accounts[t.customer].headroom(self.clock.now, t.units)
                 r.refused_with_room += room
                 r.refused_half_unused += half
         self.ended(asked, how, after_ms)
 
     def ended(self, asked: SentRequest, how: str, after_ms: float = 0.0) -> None:
         asked.trying.done = True
-        self.clients.ended(asked.trying, how, after_ms)
+        self.clients.handle_outcome(asked.trying, how, after_ms)
 
     # The play.
 
     def play(self, progress: Callable[[float], None] = lambda share: None) -> Record:
         """Let the day pass. `progress` is told the share that has passed."""
-        last = BEGIN_MS + self.options.seconds * 1000.0 + END_MS
+        last = START_MS + self.options.seconds * 1000.0 + SETTLE_MS
         before = gc.get_threshold()
-        gc.set_threshold(scale.world.GC_OBJECTS, 20, 100)
+        gc.set_threshold(scale.world.GC_THRESHOLD, 20, 100)
         try:
             with _logged(self._error):
                 while self.clock.now < last:
-                    self.clock.run(min(last, self.clock.now + STEP_MS))
-                    progress((self.clock.now - BEGIN_MS) / (last - BEGIN_MS))
+                    self.clock.run_until(min(last, self.clock.now + STEP_MS))
+                    progress((self.clock.now - START_MS) / (last - START_MS))
                 found = self._found()
         finally:
             for gateway in self.whole:
@@ -280,12 +284,12 @@
             digest=self.network.digest(),
             bytes=self.network.bytes,
             connections=self.network.connections,
-            figures=figures(self),
+            figures=compute_figures(self),
             outcomes=dict(sorted(self.outcomes.items())),
             broken=dict(sorted(broken.items())),
-            examples=tuple((at - BEGIN_MS, rule, about) for at, rule, about in self.checks.examples),
+            examples=tuple((at - START_MS, rule, about) for at, rule, about in self.checks.examples),
             traces={
-                about: tuple((at - BEGIN_MS, text) for at, text in asked[about].trace)
+                about: tuple((at - START_MS, text) for at, text in asked[about].trace)
                 for _, _, about in self.checks.examples
                 if about in asked
             },
--- a/experiments/chart.py
+++ b/experiments/chart.py
@@ -11,7 +11,7 @@
 LEAST_LOG = 0.01  # under this a logarithmic axis shows nothing, in its unit
 # Okabe and Ito's colours, which the colour-blind tell apart.
 COLOURS = ("#0072b2", "#d55e00", "#009e73", "#cc79a7", "#e69f00", "#56b4e9", "#000000", "#8c6d1f")
-PALE = "#999999"
+MUTED_COLOUR = "#999999"
 
 
 def step(low: float, high: float) -> float:
@@ -49,7 +49,7 @@
     bands: list[tuple[float, float]] = field(default_factory=list)
     names: list[str] = field(default_factory=list)
     log: bool = False
-    y_most: float = 0.0  # the axis goes so far at least
+    y_max: float = 0.0  # the axis goes so far at least
 
     width, height = WIDTH, HEIGHT
     left, right, top, bottom = LEFT, WIDTH - RIGHT, TOP, HEIGHT - BOTTOM  # of the area of the lines
@@ -60,7 +60,7 @@
     def _ranges(self) -> tuple[float, float, float, float]:
         xs = [x for line in self.lines for x, _ in line.points] or [0.0]
         ys = [self._y(y) for line in self.lines for _, y in line.points] or [0.0]
-        low, high = (min(ys), max(ys)) if self.log else (min(0.0, *ys), max(self.y_most, *ys))
+        low, high = (min(ys), max(ys)) if self.log else (min(0.0, *ys), max(self.y_max, *ys))
         if self.log:
             low, high = floor(low), ceil(high)
         high = high if high > low else low + 1.0
--- a/experiments/command.py
+++ b/experiments/command.py
@@ -9,10 +9,10 @@
 
 import click
 
-from scale.report import table
+from scale.report import format_table
 
 from . import noise, page, plan, results
-from .spread import MOST_PROCESSES, PROCESSES, run_all
+from .runner import DEFAULT_PROCESSES, MAX_PROCESSES, run_all
 
 BAD_INPUT = 2  # exit codes
 FAILED = 1
@@ -38,8 +38,8 @@
 )
 @click.option(
     "--processes",
-    type=click.IntRange(1, MOST_PROCESSES),
-    default=PROCESSES,
+    type=click.IntRange(1, MAX_PROCESSES),
+    default=DEFAULT_PROCESSES,
     show_default=True,
     help="Runs side by side.",
 )
@@ -52,11 +52,11 @@
     """
     try:
         found = plan.read(file)
-    except plan.Wrong as error:
+    except plan.InvalidInput as error:
         _refuse(error)
     folder = out or RESULTS / file.stem
     try:
-        writer = results.Writer(folder, found)
+        writer = results.ResultsWriter(folder, found)
     except OSError as error:
         _refuse(f"{folder}: {error.strerror}; name another one with --out")
     whole = run_all(found, writer, processes, _tell)
@@ -81,20 +81,20 @@
     """
     try:
         first, second = results.read(a), results.read(b)
-    except plan.Wrong as error:
+    except plan.InvalidInput as error:
         _refuse(error)
     found, alone = noise.compare(first, second)
     if not found:
         _refuse(f"{a} and {b}: no run of one has the point and seed of one of the other")
     partial = [str(r.folder) for r in (first, second) if r.state["partial"]]
-    settings = noise.differing(first, second)
+    settings = noise.differing_settings(first, second)
     if as_json:
         click.echo(
             json.dumps(
                 {
                     "a": str(a),
                     "b": str(b),
-                    "test": noise.TEST,
+                    "test": noise.TEST_DESCRIPTION,
                     "partial": partial,
                     "without_partner": alone,
                     "settings": settings,
@@ -126,5 +126,5 @@
         for place, at in enumerate(figure.differences)
     ]
     head = ("figure", "point", "A", "B", "B - A, median", "least and most", "seeds", "p", "verdict")
-    click.echo(table(head, rows))
-    click.echo(f"Higher or lower: {noise.TEST}.")
+    click.echo(format_table(head, rows))
+    click.echo(f"Higher or lower: {noise.TEST_DESCRIPTION}.")
--- a/experiments/noise.py
+++ b/experiments/noise.py
@@ -7,18 +7,18 @@
 from math import comb
 from statistics import median
 
-from .results import Results, key
+from .results import Results, record_key
 
 SURE = 0.05  # p below this, after Holm's correction, is called outside the noise
-TEST = (
+TEST_DESCRIPTION = (
     "two-sided exact sign test over the seeds, p corrected by Holm for the number of figures at that point, "
     "under 0.05"
 )
-ALL = "all points"
+ALL_POINTS = "all points"
 Pairs = dict[str, dict[int, list[tuple[float, float]]]]  # figure, seed: values of a and b
 
 
-def flat(figures: dict, names: Iterable[str] | None = None) -> dict[str, float]:
+def flatten(figures: dict, names: Iterable[str] | None = None) -> dict[str, float]:
     """The numbers of these figures (None: of all); a table's with its name and a dot before."""
     found: dict[str, float] = {}
     for name in figures if names is None else names:
@@ -40,7 +40,7 @@
     return min(1.0, 2.0 * sum(comb(count, k) for k in range(min(above, below) + 1)) / 2.0**count)
 
 
-def holm(ps: list[float]) -> list[float]:
+def holm_correction(ps: list[float]) -> list[float]:
     """Holm's step-down correction: each p as if it were the only one that was looked at."""
     found, least = [0.0] * len(ps), 0.0
     for rank, number in enumerate(sorted(range(len(ps)), key=ps.__getitem__)):
@@ -50,8 +50,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """B less a over the seeds, at one point of the sweep, or at `ALL`. There a seed has the median of its
-    differences: points of one seed share much of their day, and are no trials of their own.
+    """B less a over the seeds, at one point of the sweep, or at `ALL_POINTS`. There a seed has the median of
+    its differences: points of one seed share much of their day, and are no trials of their own.
 
     `verdict`: outside the noise (`higher` or `lower`: b than a), `within noise`, `equal` (no pair differs),
     or `too few seeds` (even if all agreed, they could not lie outside).
@@ -80,7 +80,7 @@
     differences: tuple[Difference, ...]
 
 
-def paired(a: Iterable[dict], b: Iterable[dict], names: Iterable[str]) -> list[Compared]:
+def compare_records(a: Iterable[dict], b: Iterable[dict], names: Iterable[str]) -> list[Compared]:
     """Records of equal point and seed side by side, figure by figure. The caller sees to it that each has
     one partner at most."""
     others = {(record["point"], record["seed"]): record for record in b}
@@ -89,12 +89,12 @@
     for record in a:
         other = others.get((record["point"], record["seed"]))
         if other is not None:
-            mine, its = flat(record["figures"], names), flat(other["figures"], names)
+            mine, its = flatten(record["figures"], names), flatten(other["figures"], names)
             for figure in mine.keys() & its.keys():
                 found = pairs.setdefault(record["point"], {}).setdefault(figure, {})
                 found.setdefault(record["seed"], []).append((mine[figure], its[figure]))
     if len(pairs) > 1:
-        whole = pairs[ALL] = {}
+        whole = pairs[ALL_POINTS] = {}
         for point in list(pairs)[:-1]:
             for figure, seeds in pairs[point].items():
                 for seed, values in seeds.items():
@@ -113,7 +113,7 @@
 def _at(point: str, figures: Pairs) -> Iterator[tuple[str, Difference]]:
     """Each figure at one point."""
     by_seed = [[median(b - a for a, b in values) for values in seeds.values()] for seeds in figures.values()]
-    ps = holm([sign_test(differences) for differences in by_seed])
+    ps = holm_correction([sign_test(differences) for differences in by_seed])
     for (figure, seeds), differences, p in zip(figures.items(), by_seed, ps, strict=True):
         values = [pair for pairs in seeds.values() for pair in pairs]
         if all(a == b for a, b in values):
@@ -141,10 +141,10 @@
         )
 
 
-def twins(results: Results) -> list[Compared]:
+def fault_effects(results: Results) -> list[Compared]:
     """What the faults of a result did: b is the run with them, a the same without. Empty without twins."""
     without = [record for record in results.records if not record["faulted"]]
-    return paired(
+    return compare_records(
         without, [record for record in results.records if record["faulted"]], results.state["figures"]
     )
 
@@ -155,16 +155,16 @@
     def faulted(results: Results) -> list[dict]:
         return [record for record in results.records if record["faulted"]]
 
-    alone = {key(record) for record in a.records} ^ {key(record) for record in b.records}
-    return paired(faulted(a), faulted(b), a.state["figures"]), len(alone)
+    alone = {record_key(record) for record in a.records} ^ {record_key(record) for record in b.records}
+    return compare_records(faulted(a), faulted(b), a.state["figures"]), len(alone)
 
 
-def differing(a: Results, b: Results) -> dict[str, list]:
+def differing_settings(a: Results, b: Results) -> dict[str, list]:
     """Settings that differ between runs of the same place, with the pairs of values that were seen."""
-    others = {key(record): record for record in b.records}
+    others = {record_key(record): record for record in b.records}
     found: dict[str, list] = {}
     for record in a.records:
-        other = others.get(key(record))
+        other = others.get(record_key(record))
         if other is None:
             continue
         for part in ("options", "module", "faults"):
--- a/experiments/page.py
+++ b/experiments/page.py
@@ -8,12 +8,12 @@
 from hdrh.histogram import HdrHistogram
 from jinja2 import Environment, PackageLoader, StrictUndefined
 
-from scale.record import share
+from scale.record import ratio
 
 from . import noise
-from .chart import COLOURS, PALE, Chart, Line
+from .chart import COLOURS, MUTED_COLOUR, Chart, Line
 from .play import HISTOGRAMS, PERCENTILES, percentiles
-from .results import PAGE, Results
+from .results import PAGE_FILE, Results
 
 COLUMNS = ("asked", "served", "tries", "calls")  # of a record's seconds, that are drawn
 MOST_POINTS = 24  # of the sweep, that are drawn; the tables have all
@@ -28,7 +28,7 @@
     """A row a figure: its median, least and most over seeds at each point; None where there is none."""
     points: dict[str, list[dict[str, float]]] = {point: [] for point in results.points}
     for record in records:
-        points[record["point"]].append(noise.flat(record["figures"]))
+        points[record["point"]].append(noise.flatten(record["figures"]))
     names = dict.fromkeys(name for found in points.values() for figures in found for name in figures)
     chosen = set(results.state["figures"])
     rows = []
@@ -88,17 +88,17 @@
 
     def line(label: str, chosen: list[dict], colour: str, dashed: bool) -> Line:
         values = [
-            share(row["served"], row["asked"]) if what == "served" else row[what] / len(chosen)
+            ratio(row["served"], row["asked"]) if what == "served" else row[what] / len(chosen)
             for row in _rows(chosen)
         ]
         return Line(label, [(second + 0.5, value) for second, value in enumerate(values)], colour, dashed)
 
-    lines = [line("without faults", without, PALE, True)] if without else []
+    lines = [line("without faults", without, MUTED_COLOUR, True)] if without else []
     if records:
         lines.append(line("with faults", records, COLOURS[0], False))
     bands = [(f["at"], f["at"] + f["length"]) for f in records[0]["faults"]] if records else []
     label = "served share of the worth" if what == "served" else f"{what} a second"
-    return Chart(point, "s", label, lines, bands, y_most=1.0 if what == "served" else 0.0)
+    return Chart(point, "s", label, lines, bands, y_max=1.0 if what == "served" else 0.0)
 
 
 def render(results: Results) -> str:
@@ -122,8 +122,8 @@
         seeds=sorted({record["seed"] for record in results.records}),
         faults=sorted({fault["name"] for record in results.records for fault in record["faults"]}),
         rows=_table(results, [record for records in faulted.values() for record in records]),
-        costs=noise.twins(results),
-        test=noise.TEST,
+        costs=noise.fault_effects(results),
+        test=noise.TEST_DESCRIPTION,
         broken=[record for record in results.records if record["figures"]["broken"]],
         latency=[_latency(name, drawn) for name in HISTOGRAMS],
         times=[
@@ -139,6 +139,6 @@
 
 
 def write(results: Results) -> Path:
-    path = results.folder / PAGE
+    path = results.folder / PAGE_FILE
     path.write_text(render(results), encoding="utf-8")
     return path
--- a/experiments/plan.py
+++ b/experiments/plan.py
@@ -12,7 +12,7 @@
 import click
 
 from cobaltline import interface as io
-from scale.__main__ import Spread, hollow
+from scale.__main__ import SpreadParam, hollow
 from scale.faults import FAULTS
 from scale.world import Options
 
@@ -39,7 +39,7 @@
 PARTS = ("name", "question", "seeds", "fleet", "load", "module", "faults", "sweep", "compare")
 
 
-class Wrong(Exception):
+class InvalidInput(Exception):
     """The file can't be used; says which file, which key, and what is allowed."""
 
     def __init__(self, file: str | Path, key: str, told: str):
@@ -83,10 +83,10 @@
     def check(value: object) -> object:
         if isinstance(kind, click.Choice):
             return _choice(value, kind.choices)
-        if isinstance(kind, Spread) and isinstance(value, list):
+        if isinstance(kind, SpreadParam) and isinstance(value, list):
             value = "-".join(map(str, value))
         elif isinstance(value, bool) or not isinstance(value, (int, float)) or not isfinite(value):
-            raise ValueError(f"{value!r} is no number{', or two' if isinstance(kind, Spread) else ''}")
+            raise ValueError(f"{value!r} is no number{', or two' if isinstance(kind, SpreadParam) else ''}")
         elif isinstance(kind, click.IntRange) and not isinstance(value, int):
             raise ValueError(f"{value!r} is no whole number")
         try:
@@ -292,15 +292,15 @@
 
 
 def read(file: str | Path) -> Experiment:
-    """The experiment that the file tells of; raises `Wrong`."""
+    """The experiment that the file tells of; raises `InvalidInput`."""
     try:
         text = Path(file).read_bytes()
         table = tomllib.loads(text.decode("utf-8"))
     except OSError as error:
-        raise Wrong(file, "", error.strerror or str(error)) from None
+        raise InvalidInput(file, "", error.strerror or str(error)) from None
     except ValueError as error:  # no TOML, or no UTF-8
-        raise Wrong(file, "", f"no TOML: {error}") from None
+        raise InvalidInput(file, "", f"no TOML: {error}") from None
     try:
         return _experiment(text, table)
     except _Refused as error:
-        raise Wrong(file, *error.args) from None
+        raise InvalidInput(file, *error.args) from None
--- a/experiments/play.py
+++ b/experiments/play.py
@@ -11,7 +11,7 @@
 
 from cobaltline import Gateway
 from scale.faults import FAULTS
-from scale.record import Second, share
+from scale.record import Second, ratio
 from scale.world import Options, World
 
 PERCENTILES = (50.0, 75.0, 90.0, 95.0, 99.0, 99.9)
@@ -62,10 +62,10 @@
     world = World(run.options, **told)
     if run.faulted:
         for fault in run.faults:
-            world.clock.at(
-                world.begin + fault.at * 1000.0, FAULTS[fault.name].call, world, fault.length * 1000.0
+            world.clock.call_at(
+                world.start_ms + fault.at * 1000.0, FAULTS[fault.name].inject, world, fault.length * 1000.0
             )
-    world.clock.at(world.begin + LOOK_MS, _look, world, stopped)
+    world.clock.call_at(world.start_ms + LOOK_MS, _look, world, stopped)
     figures = world.play()
     columns = {
         field.name: [getattr(second, field.name) for second in world.record.seconds]
@@ -89,7 +89,7 @@
 def _look(world: World, stopped: Callable[[], bool]) -> None:
     if stopped():
         raise Stopped
-    world.clock.at(world.clock.now + LOOK_MS, _look, world, stopped)
+    world.clock.call_at(world.clock.now + LOOK_MS, _look, world, stopped)
 
 
 def percentiles(found: HdrHistogram) -> dict[str, float]:
@@ -108,17 +108,17 @@
         sum(columns[key][during], Counts()) for key in ("asked_by_plan", "served_by_plan")
     )
     worst = [
-        share(sum(served[second : second + WORST_S]), sum(asked[second : second + WORST_S]))
+        ratio(sum(served[second : second + WORST_S]), sum(asked[second : second + WORST_S]))
         for second in range(begin, last - WORST_S + 1)
         if any(asked[second : second + WORST_S])
     ]
     return {
-        "served_worth_share_in_faults": share(sum(served[during]), sum(asked[during])),
+        "served_worth_share_in_faults": ratio(sum(served[during]), sum(asked[during])),
         "served_worth_share_in_faults_by_plan": {
-            plan: share(served_by_plan[plan], worth) for plan, worth in sorted(asked_by_plan.items())
+            plan: ratio(served_by_plan[plan], worth) for plan, worth in sorted(asked_by_plan.items())
         },
         "served_worth_share_worst": min(worst, default=0.0),
-        "beyond_price_in_faults": share(sum(beyond[during]), sum(asked[during])),
+        "beyond_price_in_faults": ratio(sum(beyond[during]), sum(asked[during])),
     }
 
 
--- a/experiments/results.py
+++ b/experiments/results.py
@@ -7,12 +7,17 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from .plan import Experiment, Wrong
+from .plan import Experiment, InvalidInput
 
-FILE, RECORDS, STATE, PAGE = "experiment.toml", "records.jsonl", "state.json", "report.html"
+EXPERIMENT_FILE, RECORDS_FILE, STATE_FILE, PAGE_FILE = (
+    "experiment.toml",
+    "records.jsonl",
+    "state.json",
+    "report.html",
+)
 
 
-def key(record: dict) -> tuple[str, bool, int]:
+def record_key(record: dict) -> tuple[str, bool, int]:
     """What a record is paired by: point of the sweep, with faults or without, seed."""
     return record["point"], record["faulted"], record["seed"]
 
@@ -31,7 +36,7 @@
         return list(dict.fromkeys(record["point"] for record in self.records))
 
 
-class Writer:
+class ResultsWriter:
     """Fills a new folder. At every moment it can be read, marked as partial until `close` says otherwise."""
 
     def __init__(self, folder: Path, experiment: Experiment):
@@ -51,30 +56,30 @@
             "partial": True,
             "failed": [],
         }
-        (folder / FILE).write_bytes(experiment.text)
+        (folder / EXPERIMENT_FILE).write_bytes(experiment.text)
         self._keep_state()
-        self._records = (folder / RECORDS).open("w", encoding="utf-8")
+        self._records = (folder / RECORDS_FILE).open("w", encoding="utf-8")
 
     def add(self, record: dict) -> None:
         line = json.dumps(record) + "\n"
         self._records.write(line)
         self._records.flush()
-        self._lines[self._order[key(record)]] = line
+        self._lines[self._order[record_key(record)]] = line
         self.state["ended"] = len(self._lines)
 
-    def fail(self, what: str) -> None:
+    def add_failure(self, what: str) -> None:
         self.state["failed"].append(what)
 
     def close(self) -> None:
         """Put the records in the order of the sweep, and say how far it came."""
         self._records.close()
         whole = "".join(self._lines[number] for number in sorted(self._lines))
-        _replace(self.folder / RECORDS, whole)
+        _replace(self.folder / RECORDS_FILE, whole)
         self.state["partial"] = self.state["ended"] < self.state["runs"]
         self._keep_state()
 
     def _keep_state(self) -> None:
-        _replace(self.folder / STATE, json.dumps(self.state, indent=1) + "\n")
+        _replace(self.folder / STATE_FILE, json.dumps(self.state, indent=1) + "\n")
 
 
 def _replace(path: Path, text: str) -> None:
@@ -85,18 +90,18 @@
 
 
 def read(folder: str | Path) -> Results:
-    """Raises `Wrong`. Of a partial result, a last line that was cut short is left out."""
+    """Raises `InvalidInput`. Of a partial result, a last line that was cut short is left out."""
     folder = Path(folder)
     try:
-        state = json.loads((folder / STATE).read_text(encoding="utf-8"))
-        lines = (folder / RECORDS).read_text(encoding="utf-8").splitlines(keepends=True)
+        state = json.loads((folder / STATE_FILE).read_text(encoding="utf-8"))
+        lines = (folder / RECORDS_FILE).read_text(encoding="utf-8").splitlines(keepends=True)
     except OSError as error:
-        raise Wrong(folder, "", f"no results folder: {error.strerror}") from None
+        raise InvalidInput(folder, "", f"no results folder: {error.strerror}") from None
     except ValueError as error:
-        raise Wrong(folder / STATE, "", f"no JSON: {error}") from None
+        raise InvalidInput(folder / STATE_FILE, "", f"no JSON: {error}") from None
     if state["partial"] and lines and not lines[-1].endswith("\n"):
         lines.pop()
     try:
         return Results(folder, state, [json.loads(line) for line in lines])
     except ValueError as error:
-        raise Wrong(folder / RECORDS, "", f"no JSON: {error}") from None
+        raise InvalidInput(folder / RECORDS_FILE, "", f"no JSON: {error}") from None
--- a/experiments/spread.py
+++ b/experiments/runner.py
@@ -11,10 +11,10 @@
 
 from .plan import Experiment
 from .play import Run, Stopped, play
-from .results import Writer
+from .results import ResultsWriter
 
-PROCESSES = 4  # runs side by side: each takes a core and some hundred MB
-MOST_PROCESSES = 64
+DEFAULT_PROCESSES = 4  # runs side by side: each takes a core and some hundred MB
+MAX_PROCESSES = 64
 SIGNALS = (signal.SIGINT, signal.SIGTERM)
 LOOK_S = 0.2  # between two looks for an interrupt
 
@@ -38,7 +38,9 @@
     return f"{run.point}, seed {run.seed}{'' if run.faulted else ', without faults'}"
 
 
-def run_all(experiment: Experiment, writer: Writer, processes: int, progress: Callable[[str], None]) -> bool:
+def run_all(
+    experiment: Experiment, writer: ResultsWriter, processes: int, progress: Callable[[str], None]
+) -> bool:
     """Play every run; whether no interrupt (SIGINT or SIGTERM) came. It ends the runs in work, and what has
     ended is kept. To be called from the main thread.
 
@@ -71,13 +73,13 @@
     return not interrupts
 
 
-def _keep(call: Future, run: Run, writer: Writer, progress: Callable[[str], None]) -> None:
+def _keep(call: Future, run: Run, writer: ResultsWriter, progress: Callable[[str], None]) -> None:
     try:
         record, took = call.result()
     except BrokenProcessPool as error:
-        writer.fail(f"{_name(run)}: its process ended: {error}")
+        writer.add_failure(f"{_name(run)}: its process ended: {error}")
     except Exception as error:  # whatever a run may raise: told, and the others go on
-        writer.fail(f"{_name(run)}: {type(error).__name__}: {error}")
+        writer.add_failure(f"{_name(run)}: {type(error).__name__}: {error}")
         progress(f"failed: {writer.state['failed'][-1]}")
     else:
         writer.add(record)
--- a/rosehitch/__main__.py
+++ b/rosehitch/__main__.py
@@ -108,7 +108,7 @@
         raise click.ClickException(f"an experiment {EXTRA} ({error})") from None
     try:
         found = plan.read(file)
-    except plan.Wrong as error:
+    except plan.InvalidInput as error:
         click.echo(f"rosehitch: {error}", err=True)
         sys.exit(2)
     click.echo(f"{file}: usable: {len(found.runs)} runs")
--- a/rosehitch/demo.py
+++ b/rosehitch/demo.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 from random import Random
 
-from scale.program import SETTINGS, Program
-from scale.standins import Agent, Counter, Roster
+from scale.program import BASE_SETTINGS, Program
+from scale.standins import BackendList, Counter, DiscoveryAgent
 
 from .backends import Backend
 from .lateness import Lateness
@@ -83,24 +83,24 @@
         self._stack, self._rules = stack, rules
         self.backends = [Backend(f"s{n}", rules, random) for n in range(BACKENDS)]
         self.programs: list[Program] = []
-        self._agents: list[Agent] = []
+        self._agents: list[DiscoveryAgent] = []
 
     async def start(self) -> None:
         home = Path(self._stack.enter_context(tempfile.TemporaryDirectory(prefix="rosehitch-")))
         port = 0  # one for all backends: each has an address of its own
         for n, backend in enumerate(self.backends):
-            port = await backend.start(Roster.host(n), port)
+            port = await backend.start(BackendList.host(n), port)
             self._stack.callback(backend.end)
-        self._roster = Roster(BACKENDS, port)
+        self._roster = BackendList(BACKENDS, port)
         counter = await Counter().start()
         self._stack.callback(counter.close)
         for me in range(GATEWAYS):
-            agent = await Agent(self._roster).start()
+            agent = await DiscoveryAgent(self._roster).start()
             self._stack.callback(agent.close)
             self._agents.append(agent)
-            obligations = {**SETTINGS["obligations"], "stopSendingWithinMs": DRAIN_S * 1000.0}
+            obligations = {**BASE_SETTINGS["obligations"], "stopSendingWithinMs": DRAIN_S * 1000.0}
             settings = {
-                **SETTINGS,
+                **BASE_SETTINGS,
                 "me": me,
                 "instances": GATEWAYS,
                 "classes": CLASSES,
@@ -108,24 +108,24 @@
                 "obligations": obligations,
             }
             program = Program(
-                home, settings, agent.port, counter.port, self._roster.whole(), host=f"127.0.0.{2 + me}"
+                home, settings, agent.port, counter.port, self._roster.full_list(), host=f"127.0.0.{2 + me}"
             )
             await program.start()
-            self._stack.push_async_callback(program.end)
+            self._stack.push_async_callback(program.kill)
             self.programs.append(program)
 
     async def ready(self) -> None:
         for program in self.programs:
-            if await program.ready(READY_S) is None:
-                raise CouldNotStart(f"a gateway was not ready within {READY_S:.0f} s: {program.told()}")
+            if await program.wait_until_ready(READY_S) is None:
+                raise CouldNotStart(f"a gateway was not ready within {READY_S:.0f} s: {program.log_tail()}")
 
     def tell(self, number: int, lifecycle: str) -> None:
         """All gateways are told of a backend that drains or is gone; who watches anew gets the whole list."""
         entry = self._roster.entry(number, lifecycle)
         self._roster.replace(number, entry)
         for agent in self._agents:
-            agent.whole = True
-            at = agent.tell(entry)
+            agent.force_full_list = True
+            at = agent.send_changes(entry)
         self._rules.record_backend_leaving(self.backends[number].name, at)
 
     def look(self) -> None:
--- a/rosehitch/load.py
+++ b/rosehitch/load.py
@@ -10,7 +10,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from scale.client import Connections, request
+from scale.client import ConnectionPool, build_request
 
 from .rules import REFUSALS, Rules
 
@@ -68,7 +68,7 @@
     """Requests at random moments (a Poisson process), whether others were answered or not."""
 
     def __init__(self, gateways: list[tuple[str, int]], rules: Rules, random: Random):
-        self._connections = [Connections(where) for where in gateways]
+        self._connections = [ConnectionPool(where) for where in gateways]
         self._rules, self._random, self._out = rules, random, 0
         self.tallies = {plan: Tally() for plan in PLANS}
         numbers = iter(range(1, 1 + sum(count for _, count, _ in ASKS)))
@@ -94,7 +94,9 @@
             await asyncio.sleep(0.01)
 
     def close(self) -> None:
-        self._rules.record_unsolicited(sum(connections.surplus for connections in self._connections))
+        self._rules.record_unsolicited(
+            sum(connections.unexpected_responses for connections in self._connections)
+        )
         for connections in self._connections:
             connections.close()
 
@@ -117,8 +119,8 @@
         self._rules.record_request(
             name, f"{customer.number:016x}", customer.plan, safe, time.monotonic() + DEADLINE_S
         )
-        self._connections[gateway].ask(
-            request(
+        self._connections[gateway].send_request(
+            build_request(
                 customer.number,
                 customer.plan,
                 "look" if safe else "file",
--- a/rosehitch/soak.py
+++ b/rosehitch/soak.py
@@ -17,9 +17,9 @@
 from pathlib import Path
 from random import Random
 
-from scale.client import Caller, Connections, request
-from scale.program import LIMITS, SETTINGS, Program
-from scale.standins import Agent, Counter, Roster
+from scale.client import ClientConnection, ConnectionPool, build_request
+from scale.program import BASE_SETTINGS, DEFAULT_LIMITS, Program
+from scale.standins import BackendList, Counter, DiscoveryAgent
 
 from .backends import Backend
 from .lateness import Lateness
@@ -90,15 +90,15 @@
         self._soak.send(self)
 
 
-class Life(Connections):
+class Life(ConnectionPool):
     """The clients' connections to one gateway, from its start to its end."""
 
-    def ask(self, text: bytes, done: Request) -> bool:
+    def send_request(self, text: bytes, done: Request) -> bool:
         """On a connection that is idle; false where there is none."""
         while self.idle:
             caller = self.idle.pop()
             if not caller.transport.is_closing():
-                caller.ask(text, done)
+                caller.send_request(text, done)
                 return True
         return False
 
@@ -110,7 +110,9 @@
 
     async def _open(self, text: bytes, done: Request) -> None:
         try:
-            await asyncio.get_running_loop().create_connection(lambda: Caller(self, text, done), *self._where)
+            await asyncio.get_running_loop().create_connection(
+                lambda: ClientConnection(self, text, done), *self._where
+            )
         except OSError:
             done.again()
 
@@ -127,7 +129,7 @@
         self._lives: list[Life | None] = [None] * GATEWAYS
         self._closing_at = [float("inf")] * GATEWAYS  # from when on no new connections come
         self._programs: list[Program | None] = [None] * GATEWAYS
-        self._agents: list[Agent] = []
+        self._agents: list[DiscoveryAgent] = []
         self._gone: set[int] = set()  # backends that drain
         self.over = False  # no further trouble: `asyncio.wait_for` may lose a cancellation
 
@@ -135,13 +137,13 @@
         port = 0
         self._backends = [Backend(f"s{n}", self.rules, self.random) for n in range(BACKENDS)]
         for n, backend in enumerate(self._backends):
-            port = await backend.start(Roster.host(n), port)
+            port = await backend.start(BackendList.host(n), port)
             self._stack.callback(backend.end)
-        self._roster = Roster(BACKENDS, port)
+        self._roster = BackendList(BACKENDS, port)
         self._counter = await Counter().start()
         self._stack.callback(self._counter.close)
         for _ in range(GATEWAYS):
-            agent = await Agent(self._roster).start()
+            agent = await DiscoveryAgent(self._roster).start()
             self._stack.callback(agent.close)
             self._agents.append(agent)
         await asyncio.gather(*(self._start(me) for me in range(GATEWAYS)))
@@ -152,9 +154,9 @@
             {"name": "look", "idempotency": "safe", "promiseMs": 300.0, "worth": 1.0},
             {"name": "file", "idempotency": "unsafe", "promiseMs": 300.0, "worth": 1.0},
         ]
-        obligations = {**SETTINGS["obligations"], "stopSendingWithinMs": DRAIN_S * 1000.0}
+        obligations = {**BASE_SETTINGS["obligations"], "stopSendingWithinMs": DRAIN_S * 1000.0}
         settings = {
-            **SETTINGS,
+            **BASE_SETTINGS,
             "me": me,
             "instances": GATEWAYS,
             "classes": [{**found, "giveUpMs": self.deadline_s * 1000.0} for found in classes],
@@ -166,15 +168,15 @@
             settings,
             self._agents[me].port,
             self._counter.port,
-            self._roster.whole(),
+            self._roster.full_list(),
             patch=STEPPED.format(self.random.choice(STEPS_S)),
             host=f"127.0.0.{2 + me}",
-            limits={**LIMITS, "sockets": CROWD_SOCKETS} if self._crowded else LIMITS,
+            limits={**DEFAULT_LIMITS, "sockets": CROWD_SOCKETS} if self._crowded else DEFAULT_LIMITS,
         )
         await program.start()
-        self._stack.push_async_callback(program.end)
-        if await program.ready(READY_S) is None:
-            self.rules.add_violation(ONE_ANSWER_RULE, f"gateway {me} was not ready: {program.told()}")
+        self._stack.push_async_callback(program.kill)
+        if await program.wait_until_ready(READY_S) is None:
+            self.rules.add_violation(ONE_ANSWER_RULE, f"gateway {me} was not ready: {program.log_tail()}")
         self._programs[me], self._closing_at[me] = program, float("inf")
         self._lives[me] = Life(program.address)
 
@@ -199,14 +201,14 @@
             return
         asked.name = f"{self.random.getrandbits(64):016x}"
         kind = "look" if asked.safe else "file"
-        text = request(
+        text = build_request(
             customer.number, customer.plan, kind, asked.safe, asked.name, SPREAD, customer.first, left_s
         )
         self.rules.record_request(
             asked.name, f"{customer.number:016x}", customer.plan, asked.safe, asked.last_s
         )
         for me in turns:
-            if self._lives[me] is not None and self._lives[me].ask(text, asked):
+            if self._lives[me] is not None and self._lives[me].send_request(text, asked):
                 return
         for me in turns:
             if self._lives[me] is not None and time.monotonic() < self._closing_at[me]:
@@ -230,8 +232,8 @@
         entry = self._roster.entry(number, "Terminating")
         self._roster.replace(number, entry)
         for agent in self._agents:
-            agent.whole = True
-            at = agent.tell(entry)
+            agent.force_full_list = True
+            at = agent.send_changes(entry)
         self.rules.record_backend_leaving(self._backends[number].name, at)
 
     async def _signal(self, me: int) -> None:
@@ -261,10 +263,12 @@
         try:
             code = await asyncio.wait_for(program.process.wait(), left_s)
             if code != 0:
-                self.rules.add_violation(ONE_ANSWER_RULE, f"gateway {me} ended with {code}: {program.told()}")
+                self.rules.add_violation(
+                    ONE_ANSWER_RULE, f"gateway {me} ended with {code}: {program.log_tail()}"
+                )
         except TimeoutError:
             self.rules.add_violation(ONE_ANSWER_RULE, f"gateway {me} had to be killed")
-            await program.end()
+            await program.kill()
 
     def _crowd(self, where: tuple[str, int]) -> list[socket.socket]:
         """Idle connections, as far as the gateway takes them."""
--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -9,7 +9,7 @@
 
 import click
 
-from . import plays, report
+from . import measurements, report
 from .faults import FAULTS
 from .figure import Figure
 from .world import Options, play
@@ -18,7 +18,7 @@
 REAL = "real"  # the name of the real tier's figures
 
 
-class Spread(click.ParamType):
+class SpreadParam(click.ParamType):
     """`16`, or `6-20` for customers whose sets are of unlike size."""
 
     name = "N or N-M"
@@ -36,12 +36,12 @@
         return found
 
 
-def tell(text: str) -> None:
+def print_progress(text: str) -> None:
     """Progress, on standard error."""
     click.echo(text, err=True)
 
 
-def keep(path: str | None, found: object) -> None:
+def write_json(path: str | None, found: object) -> None:
     if path:
         Path(path).write_text(json.dumps(found, indent=1) + "\n", encoding="utf-8")
 
@@ -81,7 +81,7 @@
 )
 @click.option(
     "--spread",
-    type=Spread(),
+    type=SpreadParam(),
     default=DEFAULTS.spread,
     show_default="6-20",
     help="Gateways in a customer's set.",
@@ -154,9 +154,9 @@
         raise click.BadParameter("the play is over by then", param_hint="--warm-up")
     began = time.monotonic()
     found = play(Options(**options))
-    tell(f"played {options['seconds']:g} s in {time.monotonic() - began:.1f} s")
-    click.echo(report.pairs(found))
-    keep(file, {"options": options, "figures": found})
+    print_progress(f"played {options['seconds']:g} s in {time.monotonic() - began:.1f} s")
+    click.echo(report.format_pairs(found))
+    write_json(file, {"options": options, "figures": found})
 
 
 def real_tier(short: bool) -> list[Figure]:
@@ -164,9 +164,9 @@
     try:
         from . import real
     except ImportError as error:
-        tell(f"no figures of the real tier: {error}")
+        print_progress(f"no figures of the real tier: {error}")
         return []
-    return real.figures(short, tell)
+    return real.measure_figures(short, print_progress)
 
 
 @main.command()
@@ -174,14 +174,14 @@
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 @click.option(
     "--only",
-    type=click.Choice([REAL, *(series.name for series in plays.SERIES)]),
+    type=click.Choice([REAL, *(series.name for series in measurements.SERIES)]),
     multiple=True,
     help="Figures of that name alone; may be given more than once.",
 )
 @click.option(
     "--processes",
     type=click.IntRange(1, 64),
-    default=plays.PROCESSES,
+    default=measurements.DEFAULT_PROCESSES,
     show_default=True,
     help="Plays side by side.",
 )
@@ -191,11 +191,11 @@
     grows as the size does), the residual what that leaves, in natural logarithms."""
     began = time.monotonic()
     found = real_tier(short) if not only or REAL in only else []
-    chosen = [series for series in plays.SERIES if not only or series.name in only]
-    found += plays.figures(chosen, seed, short, processes, tell)
-    tell(f"{len(found)} figures in {time.monotonic() - began:.0f} s")
-    click.echo(report.slopes(found))
-    keep(file, [figure.record() for figure in found])
+    chosen = [series for series in measurements.SERIES if not only or series.name in only]
+    found += measurements.measure_figures(chosen, seed, short, processes, print_progress)
+    print_progress(f"{len(found)} figures in {time.monotonic() - began:.0f} s")
+    click.echo(report.format_slopes(found))
+    write_json(file, [figure.to_dict() for figure in found])
 
 
 @main.command()
@@ -221,19 +221,19 @@
 @click.option(
     "--processes",
     type=click.IntRange(1, 64),
-    default=plays.PROCESSES,
+    default=measurements.DEFAULT_PROCESSES,
     show_default=True,
     help="Plays side by side.",
 )
 @click.option("--json", "file", type=click.Path(dir_okay=False, writable=True), help="Keep them there.")
 def faults(only: tuple[str, ...], processes: int, file: str | None, **options) -> None:
     """Each fault on a calm day over 5 regions with 16 zones, beside the same day without it."""
-    if options["seconds"] < DEFAULTS.fault_at + options["fault_for"] + plays.SMOOTH:
+    if options["seconds"] < DEFAULTS.fault_at + options["fault_for"] + measurements.SMOOTHING_S:
         raise click.BadParameter("the day ends before the fault is over", param_hint="--seconds")
     day = Options(zones=16, regions=5, spread=(8, 30), **options)
-    found = plays.faults(only or FAULTS, day, processes, tell)
+    found = measurements.measure_faults(only or FAULTS, day, processes, print_progress)
     click.echo(
-        report.table(
+        report.format_table(
             (
                 "fault",
                 "served before",
@@ -249,7 +249,7 @@
             [(*astuple(harm)[:-1], harm.broken) for harm in found],
         )
     )
-    keep(file, [asdict(harm) for harm in found])
+    write_json(file, [asdict(harm) for harm in found])
 
 
 if __name__ == "__main__":
--- a/scale/client.py
+++ b/scale/client.py
@@ -17,7 +17,7 @@
 NUMBERS = itertools.count(1)
 
 
-def request(
+def build_request(
     customer: int,
     plan: str,
     kind: str = "read",
@@ -39,14 +39,14 @@
 
 @dataclass
 class Answers:
-    """What came of a run of requests: `took_ms` each, from when it was due to its last byte; status 0 is a
-    connection that ended. `late_ms`: how late each was sent, which is the rig's own doing."""
+    """What came of a run of requests: `latencies_ms` each, from when it was due to its last byte; status 0
+    is a connection that ended. `send_delays_ms`: how late each was sent, which is the rig's own doing."""
 
-    took_ms: list[float] = field(default_factory=list)
-    late_ms: list[float] = field(default_factory=list)
+    latencies_ms: list[float] = field(default_factory=list)
+    send_delays_ms: list[float] = field(default_factory=list)
     statuses: Counter[int] = field(default_factory=Counter)
 
-    def unserved(self) -> str:
+    def describe_unserved(self) -> str:
         """How many were not, by status, as a sentence's part; empty where all were served."""
         others = [f"{n} by {status}" for status, n in sorted(self.statuses.items()) if status != 200]
         return f"of {self.statuses.total()} requests not served: {', '.join(others)}" if others else ""
@@ -55,10 +55,10 @@
 Done = Callable[[int, bytes], None]  # is told an answer's status and body; 0 if the connection ended without
 
 
-class Caller(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """A connection that carries one request at a time."""
 
-    def __init__(self, owner: Connections, text: bytes, done: Done):
+    def __init__(self, owner: ConnectionPool, text: bytes, done: Done):
         self._owner, self._text, self._done, self._data = owner, text, done, b""
         self.busy, self._kept = True, False
 
@@ -67,21 +67,21 @@
         self._owner.callers.add(self)
         transport.write(self._text)
 
-    def ask(self, text: bytes, done: Done) -> None:
+    def send_request(self, text: bytes, done: Done) -> None:
         self._text, self._done, self._data = text, done, b""
         self.busy, self._kept = True, True
         self.transport.write(text)
 
     def data_received(self, data: bytes) -> None:
         if not self.busy:
-            self._owner.surplus += 1
+            self._owner.unexpected_responses += 1
             return
         self._data += data
         head, end, body = self._data.partition(b"\r\n\r\n")
         found = LENGTH.search(head)
         length = int(found[1] if found else 0)
         if end and len(body) >= length:
-            self._owner.surplus += len(body) > length
+            self._owner.unexpected_responses += len(body) > length
             self.busy = False
             self._owner.idle.append(self)
             self._done(int(head[9:12]), body[:length])
@@ -96,21 +96,21 @@
                 self._done(0, b"")
 
 
-class Connections:
+class ConnectionPool:
     """A client's connections to one gateway: kept, and more opened once all are busy."""
 
     def __init__(self, where: tuple[str, int]):
         self._where = where
-        self.callers: set[Caller] = set()
-        self.idle: list[Caller] = []
+        self.callers: set[ClientConnection] = set()
+        self.idle: list[ClientConnection] = []
         self._opening: set[asyncio.Task] = set()
-        self.surplus = 0  # times that something came to which no request was out
+        self.unexpected_responses = 0  # times that something came to which no request was out
 
-    def ask(self, text: bytes, done: Done) -> None:
+    def send_request(self, text: bytes, done: Done) -> None:
         while self.idle:
             caller = self.idle.pop()
             if not caller.transport.is_closing():
-                caller.ask(text, done)
+                caller.send_request(text, done)
                 return
         self.open(text, done)
 
@@ -122,7 +122,9 @@
 
     async def _open(self, text: bytes, done: Done) -> None:
         try:
-            await asyncio.get_running_loop().create_connection(lambda: Caller(self, text, done), *self._where)
+            await asyncio.get_running_loop().create_connection(
+                lambda: ClientConnection(self, text, done), *self._where
+            )
         except OSError:
             done(0, b"")
 
@@ -139,26 +141,26 @@
     """Requests to one gateway and what came of them."""
 
     def __init__(self, where: tuple[str, int]):
-        self._connections, self._out = Connections(where), 0
+        self._connections, self._out = ConnectionPool(where), 0
         self._loop = asyncio.get_running_loop()
         self._answers = Answers()
         self._on_answer: Callable[[], None] = lambda: None
 
     def _send(self, due: float, text: bytes) -> None:
         self._out += 1
-        self._connections.ask(text, lambda status, _: self._answered(due, status))
+        self._connections.send_request(text, lambda status, _: self._answered(due, status))
 
     def _answered(self, due: float, status: int) -> None:
         self._out -= 1
-        self._answers.took_ms.append((time.monotonic() - due) * 1000.0)
+        self._answers.latencies_ms.append((time.monotonic() - due) * 1000.0)
         self._answers.statuses[status] += 1
         self._on_answer()
 
-    async def scheduled(
-        self, rate: float, seconds: float, plan: str = "free", after_s: float = 0.0
+    async def run_open_loop(
+        self, rate: float, seconds: float, plan: str = "free", start_delay_s: float = 0.0
     ) -> Answers:
         """Open loop: a request each 1/rate s, whether others were answered or not, timed from when it is due;
-        the first `after_s` late.
+        the first `start_delay_s` late.
 
         A thread keeps the schedule, as the loop's own timers count whole milliseconds.
         """
@@ -166,7 +168,7 @@
         count = max(1, int(rate * seconds))
         here, there = socket.socketpair()
         here.setblocking(False)
-        start = time.monotonic() + 0.01 + after_s
+        start = time.monotonic() + 0.01 + start_delay_s
 
         def pace() -> None:
             for n in range(count):
@@ -180,8 +182,8 @@
             for _ in here.recv(4096):
                 n = next(numbers)
                 at = start + n / rate
-                answers.late_ms.append((time.monotonic() - at) * 1000.0)
-                self._send(at, request(n, plan))
+                answers.send_delays_ms.append((time.monotonic() - at) * 1000.0)
+                self._send(at, build_request(n, plan))
                 if n == count - 1:
                     all_sent.set()
 
@@ -201,7 +203,9 @@
             answers.statuses[0] += self._out  # never answered
         return answers
 
-    async def distinct(self, first: int, count: int, plan: str, at_once: int, within_s: float) -> Answers:
+    async def run_closed_loop(
+        self, first: int, count: int, plan: str, at_once: int, within_s: float
+    ) -> Answers:
         """Closed loop: one request for each of `count` customers from number `first`, `at_once` at a time."""
         answers = self._answers = Answers()
         customers = iter(range(first, first + count))
@@ -212,7 +216,7 @@
             now = time.monotonic()
             customer = next(customers, None) if now < limit else None
             if customer is not None:
-                self._send(now, request(customer, plan))
+                self._send(now, build_request(customer, plan))
             elif not self._out:
                 over.set()
 
--- a/scale/clients.py
+++ b/scale/clients.py
@@ -10,7 +10,7 @@
 from cobaltline import interface as io
 
 # A day's classes and plans, within the ranges of the site that the bench plays.
-MOST_UNITS = 8
+MAX_UNITS = 8
 TABLE_PER_S = 1.36  # requests a second of a customer of the table
 UNITS_A_MEAN = 1.7  # units of a request of mean work, before they are rounded and bounded
 CALM_USE, FULL_USE = (0.16, 0.4), (0.85, 1.0)  # of the rate, asked all day
@@ -30,17 +30,17 @@
 class Kind:
     """A class of requests: its share of them, and the work of one (lognormal, in ms of a core)."""
 
-    io_class: io.RequestClass
+    request_class: io.RequestClass
     share: float
     work_ms: float
     cv: float
 
 
-KINDS = (
+REQUEST_KINDS = (
     Kind(io.RequestClass("check-photo", 1200.0, 5000.0, io.Idempotency.SAFE, worth=3.0), 0.55, 127.0, 1.1),
     Kind(io.RequestClass("file-result", 500.0, 1500.0, io.Idempotency.UNSAFE, worth=2.0), 0.45, 78.0, 0.8),
 )
-MEAN_WORK_MS = sum(kind.share * kind.work_ms for kind in KINDS)
+MEAN_WORK_MS = sum(kind.share * kind.work_ms for kind in REQUEST_KINDS)
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
     share: float
 
 
-def day_plans(rng: np.random.Generator) -> tuple[Tariff, ...]:
+def calm_plans(rng: np.random.Generator) -> tuple[Tariff, ...]:
     """The three plans of the site, drawn from its ranges."""
     found = []
     for name, share, rate, burst_s, price, cost in (
@@ -60,12 +60,12 @@
         ("ampliado", 0.26, (31.0, 55.0), (1.3, 2.5), 1.4, 0.8),
     ):
         drawn = float(rng.uniform(*rate))
-        burst = max(2.0 * MOST_UNITS, drawn * float(rng.uniform(*burst_s)))
+        burst = max(2.0 * MAX_UNITS, drawn * float(rng.uniform(*burst_s)))
         found.append(Tariff(io.Plan(name, drawn, burst, price=price, overrun_cost=cost), share))
     top = found[-1].plan
     times = float(rng.uniform(1.7, 2.4))
     out = max(2, int(np.ceil(rng.uniform(2.0, 3.2) * top.rate / UNITS_A_MEAN * MEAN_WORK_MS / 1000.0)))
-    ceiling_burst = max(4.0 * MOST_UNITS, top.burst * times)
+    ceiling_burst = max(4.0 * MAX_UNITS, top.burst * times)
     found[-1] = replace(
         found[-1],
         plan=replace(
@@ -73,7 +73,7 @@
             max_concurrency=out,
             ceiling_rate=top.rate * times,
             ceiling_burst=ceiling_burst,
-            ceiling_tolerance=max(0.1 * ceiling_burst, float(MOST_UNITS)),
+            ceiling_tolerance=max(0.1 * ceiling_burst, float(MAX_UNITS)),
         ),
     )
     return tuple(found)
@@ -95,15 +95,15 @@
         "units",
         "work_ms",
         "first_at",
-        "arrived",
-        "deadline",
+        "arrived_ms",
+        "deadline_ms",
         "number",
         "inside",
-        "within",
+        "within_quota",
         "done",
-        "sends",
-        "out",
-        "ran",
+        "attempt_count",
+        "in_flight_attempts",
+        "may_have_run",
         "worth",
         "gateway",
     )
@@ -111,21 +111,21 @@
     def __init__(self, request: str, customer: int, kind: int, units: float, work_ms: float, now: float):
         self.request, self.customer, self.kind = request, customer, kind
         self.units, self.work_ms, self.first_at = units, work_ms, now
-        self.deadline = now + KINDS[kind].io_class.timeout_ms
+        self.deadline_ms = now + REQUEST_KINDS[kind].request_class.timeout_ms
         self.number = 0  # of this try among those of its request
         self.inside = False  # what the first try asked was inside the quota
         self._again(now)
 
     def _again(self, now: float) -> None:
-        self.arrived, self.done, self.ran = now, False, False
-        self.within = False  # sent on inside the quota
-        self.sends, self.out = 0, {}
+        self.arrived_ms, self.done, self.may_have_run = now, False, False
+        self.within_quota = False  # sent on inside the quota
+        self.attempt_count, self.in_flight_attempts = 0, {}
         self.gateway = -1
 
     def again(self, request: str, now: float) -> Try:
         other = Try(request, self.customer, self.kind, self.units, self.work_ms, self.first_at)
         other.number, other.inside, other.worth = self.number + 1, self.inside, self.worth
-        other.arrived = now
+        other.arrived_ms = now
         return other
 
 
@@ -141,7 +141,7 @@
         self._number = 0
         self._leave = o.leave
         if len(self._at):
-            world.clock.at(self._at[0], self._arrive, 0)
+            world.clock.call_at(self._at[0], self._arrive, 0)
 
     # What is drawn ahead.
 
@@ -164,7 +164,7 @@
                 replace(
                     t,
                     plan=replace(
-                        t.plan, rate=t.plan.rate * factor, burst=max(2.0 * MOST_UNITS, t.plan.burst * factor)
+                        t.plan, rate=t.plan.rate * factor, burst=max(2.0 * MAX_UNITS, t.plan.burst * factor)
                     ),
                 )
                 for t in tariffs
@@ -176,7 +176,7 @@
             plan = tariff.plan
             most = min(high, o.gateways)
             if plan.ceiling_rate:  # the protocol: no more than its ceiling bears
-                most = min(most, max(2, int(plan.ceiling_burst / (2 * MOST_UNITS))))
+                most = min(most, max(2, int(plan.ceiling_burst / (2 * MAX_UNITS))))
             spread = draw.integers(min(low, most), most + 1, count)
             habit = draw.choice(4, count, p=odds)
             use = np.choose(
@@ -232,13 +232,16 @@
         turns = draw.integers(0, 1 << 30, (self.customers, int(seconds / every) + 1))
         place = (rank + turns[who, (times / every).astype(int)]) % spread
         self._gateway = ((np.array(self._first)[who] + place) % self._world.options.gateways).tolist()
-        kind = draw.choice(len(KINDS), total, p=[k.share for k in KINDS])
-        means, cvs = np.array([k.work_ms for k in KINDS])[kind], np.array([k.cv for k in KINDS])[kind]
+        kind = draw.choice(len(REQUEST_KINDS), total, p=[k.share for k in REQUEST_KINDS])
+        means, cvs = (
+            np.array([k.work_ms for k in REQUEST_KINDS])[kind],
+            np.array([k.cv for k in REQUEST_KINDS])[kind],
+        )
         sigma = np.sqrt(np.log1p(cvs**2))
         work = means * np.exp(sigma * draw.standard_normal(total) - sigma**2 / 2.0)
-        sized = np.clip(np.round(UNITS_A_MEAN * work / MEAN_WORK_MS), 1, MOST_UNITS)
+        sized = np.clip(np.round(UNITS_A_MEAN * work / MEAN_WORK_MS), 1, MAX_UNITS)
         self._units = (sized if self._world.options.mix == "calm" else np.ones(total)).tolist()
-        self._at = (self._world.begin + times * 1000.0).tolist()
+        self._at = (self._world.start_ms + times * 1000.0).tolist()
         self._who, self._kind, self._work = who.tolist(), kind.tolist(), work.tolist()
 
     # The day.
@@ -251,15 +254,15 @@
         w = self._world
         now, who = w.clock.now, self._who[number]
         if number + 1 < len(self._at):
-            w.clock.at(self._at[number + 1], self._arrive, number + 1)
+            w.clock.call_at(self._at[number + 1], self._arrive, number + 1)
         t = Try(self._name(), who, self._kind[number], self._units[number], self._work[number], now)
         plan = self._plan[who]
-        t.worth = KINDS[t.kind].io_class.worth * plan.price * t.units
-        t.inside = w.account(who, plan).asked(now, t.units)
+        t.worth = REQUEST_KINDS[t.kind].request_class.worth * plan.price * t.units
+        t.inside = w.account_of(who, plan).admits_first_try(now, t.units)
         w.record.first_tries += 1
         if t.inside:
             w.record.worth_asked += t.worth
-            second = w.second(now)
+            second = w.second_at(now)
             second.asked += t.worth
             second.asked_by_plan[plan.name] += t.worth
         self._go(t, self._gateway[number])
@@ -268,22 +271,22 @@
         w, plan = self._world, self._plan[t.customer]
         w.record.tries += 1
         w.record.tries_by_plan[plan.name] += 1
-        w.second(w.clock.now).tries += 1
+        w.second_at(w.clock.now).tries += 1
         if self._leave and self._rng.random() < self._leave:
-            w.clock.at(w.clock.now + self._rng.uniform(0.0, 200.0), self._go_away, t)
+            w.clock.call_at(w.clock.now + self._rng.uniform(0.0, 200.0), self._go_away, t)
         t.gateway = gateway = self._front(t.customer, gateway)
         event = io.RequestArrived(
             t.request,
             self._key[t.customer],
             plan.name,
-            KINDS[t.kind].io_class.name,
-            t.deadline,
+            REQUEST_KINDS[t.kind].request_class.name,
+            t.deadline_ms,
             t.units,
             self._first[t.customer],
             self._spread[t.customer],
         )
         if not w.gateways[gateway].take(t, event):
-            self.ended(t, "unreachable")
+            self.handle_outcome(t, "unreachable")
 
     def _front(self, customer: int, gateway: int) -> int:
         """Where the front sees a gateway down, the next of the customer's set that it does not."""
@@ -298,9 +301,9 @@
     def _go_away(self, t: Try) -> None:
         if not t.done:
             self._world.gateways[t.gateway].leave(t)
-            self._world.record.left += 1
+            self._world.record.abandoned += 1
 
-    def ended(self, t: Try, how: str, retry_after_ms: float = 0.0) -> None:
+    def handle_outcome(self, t: Try, how: str, retry_after_ms: float = 0.0) -> None:
         """The try has its final answer: `served`, `refused` or `failed`; or `lost` with its gateway; or the
         gateway was `unreachable`."""
         w = self._world
@@ -308,25 +311,25 @@
         if how == "served":
             w.record.served += 1
             w.record.answered.record_value(max(1, int((now - t.first_at) * 1000.0)))
-            if now - t.first_at > KINDS[t.kind].io_class.target_latency_ms:
+            if now - t.first_at > REQUEST_KINDS[t.kind].request_class.target_latency_ms:
                 w.record.served_late += 1
             elif t.inside:
                 w.record.worth_served += t.worth
-                second = w.second(t.first_at)
+                second = w.second_at(t.first_at)
                 second.served += t.worth
                 second.served_by_plan[self._plan[t.customer].name] += t.worth
             return
-        safe = KINDS[t.kind].io_class.idempotency is io.Idempotency.SAFE
+        safe = REQUEST_KINDS[t.kind].request_class.idempotency is io.Idempotency.SAFE
         if t.number >= RETRIES or not safe and how not in ("refused", "unreachable"):
             return
         wait = self._rng.uniform(*BACKOFF_MS) * 2.0**t.number
         if retry_after_ms and self._rng.random() < HONOUR:
             wait = max(wait, retry_after_ms)
-        if now + wait < t.deadline:
+        if now + wait < t.deadline_ms:
             gateway, spread = t.gateway, self._spread[t.customer]
             if how in ("unreachable", "lost") or self._rng.random() < ELSEWHERE:
                 gateway = (self._first[t.customer] + self._rng.randrange(spread)) % w.options.gateways
-            w.clock.at(now + wait, self._once_more, t, gateway)
+            w.clock.call_at(now + wait, self._once_more, t, gateway)
 
     def _once_more(self, t: Try, gateway: int) -> None:
         self._go(t.again(self._name(), self._world.clock.now), gateway)
--- a/scale/clock.py
+++ b/scale/clock.py
@@ -16,12 +16,12 @@
         self._queue: list[tuple[float, int, Callable, tuple]] = []
         self._order = 0
 
-    def at(self, when_ms: float, call: Callable, *args) -> None:
+    def call_at(self, when_ms: float, call: Callable, *args) -> None:
         """Call it at that time; a time that has passed means next."""
         self._order += 1
         heapq.heappush(self._queue, (when_ms, self._order, call, args))
 
-    def run(self, until_ms: float) -> None:
+    def run_until(self, until_ms: float) -> None:
         """Let everything up to then happen, with what that sets in turn."""
         queue = self._queue
         while queue and queue[0][0] <= until_ms:
--- a/scale/costs.py
+++ b/scale/costs.py
@@ -16,18 +16,18 @@
 CHANGES = 50  # in a row, for the cost of one
 SHORT_S = 3.0  # of virtual time, for a play of the short form
 DESIGN_GATEWAYS = 3100
-PER_GATEWAY_S = 61.0  # requests a second at each gateway of the design
+REQUESTS_PER_GATEWAY_PER_S = 61.0  # requests a second at each gateway of the design
 
 
 @dataclass(frozen=True, slots=True)
-class Sized:
+class MeasurementPoint:
     """What to measure at: a size (its unit is the series' own), a seed, and whether in the short form."""
 
     size: int
     seed: int = 1
     short: bool = False
 
-    def seconds(self, usual: float) -> float:
+    def duration_s(self, usual: float) -> float:
         """How long a play lasts that usually lasts so long."""
         return min(usual, SHORT_S) if self.short else usual
 
@@ -66,14 +66,14 @@
     return (time.process_time() - began) * 1000.0
 
 
-def whole_list(sized: Sized) -> dict[str, float]:
+def whole_list(sized: MeasurementPoint) -> dict[str, float]:
     """The module takes in a whole list, as a gateway does that knows the backends already."""
     gateway = ready(sized.size)
     event = io.BackendsChanged(io.ListKind.COMPLETE, 2, entries(sized.size, 1.1))
     return {"ms": min(_ms(lambda: gateway.handle(2000.0, event)) for _ in range(BEST_OF))}
 
 
-def one_change(sized: Sized) -> dict[str, float]:
+def one_change(sized: MeasurementPoint) -> dict[str, float]:
     """The module takes in a change of one entry."""
     gateway, event = ready(sized.size), io.BackendsChanged(io.ListKind.DELTA, 2, entries(1, 1.1))
 
@@ -84,7 +84,7 @@
     return {"ms": min(_ms(several) for _ in range(BEST_OF)) / CHANGES}
 
 
-def memory_of_list(sized: Sized) -> dict[str, float]:
+def memory_of_list(sized: MeasurementPoint) -> dict[str, float]:
     """What the module holds for each backend of its list."""
     listed = entries(sized.size)
     tracemalloc.start()
@@ -95,7 +95,7 @@
     return {"kb": size / 1024.0 / sized.size}
 
 
-def memory_of_customers(sized: Sized) -> dict[str, float]:
+def memory_of_customers(sized: MeasurementPoint) -> dict[str, float]:
     """What the module holds for each customer that it has seen of late, after one request of each was served.
     Each comes in a millisecond after the one before, or all within 5 s where they are many."""
     customers = sized.size
@@ -138,7 +138,7 @@
         return acts
 
 
-def decisions(sized: Sized) -> dict[str, float]:
+def decisions(sized: MeasurementPoint) -> dict[str, float]:
     """What requests cost a gateway of the design, at 61 a second for 12 s (one sweep over all it holds)."""
     modules: list[Timed] = []
 
@@ -151,10 +151,10 @@
             gateways=2,
             fleet=DESIGN_GATEWAYS,
             backends=sized.size,
-            rate=2.0 * PER_GATEWAY_S,
+            rate=2.0 * REQUESTS_PER_GATEWAY_PER_S,
             mix="table",
             spread=(2, 2),
-            seconds=sized.seconds(12.0),
+            seconds=sized.duration_s(12.0),
             counter_per_try=4.0,
             seed=sized.seed,
         ),
--- a/scale/faults.py
+++ b/scale/faults.py
@@ -22,37 +22,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """`call` sets it off in a world (`scale.world.World`), for so many ms."""
+    """`inject` sets it off in a world (`scale.world.World`), for so many ms."""
 
     about: str
-    call: Callable
+    inject: Callable
 
 
 def _silence(world, backends: list, gateways: list[int]) -> None:
     for backend in backends:
-        world.stop(backend, Health.SILENT)
+        world.stop_backend(backend, Health.SILENT)
     for number in gateways:
-        world.kill(number)
+        world.kill_gateway(number)
 
 
 def _return(world, backends: list, gateways: list[int]) -> None:
     """What was lost is back: backends cold, in thirds, and gateways that know nothing."""
     for third in range(3):
-        world.clock.at(world.clock.now + third * COLD_BOOT_MS, _start, world, backends[third::3])
+        world.clock.call_at(world.clock.now + third * COLD_BOOT_MS, _start, world, backends[third::3])
     for number in gateways:
-        world.restart(number)
+        world.restart_gateway(number)
 
 
 def _start(world, backends: list) -> None:
     for backend in backends:
         backend.start()
     if backends:
-        world.discovery.change([world.entry(backend) for backend in backends])
+        world.discovery.apply_changes([world.backend_entry(backend) for backend in backends])
 
 
 def _away(world, for_ms: float, backends: list, gateways: list[int]) -> None:
     _silence(world, backends, gateways)
-    world.clock.at(world.clock.now + for_ms, _return, world, backends, gateways)
+    world.clock.call_at(world.clock.now + for_ms, _return, world, backends, gateways)
 
 
 def zone(world, for_ms: float) -> None:
@@ -75,38 +75,40 @@
 
 
 def region(world, for_ms: float) -> None:
-    world.links.part(world.links.region(world.options.regions - 1))
-    world.clock.at(world.clock.now + for_ms, _heal, world)
+    world.links.partition(world.links.zones_in_region(world.options.regions - 1))
+    world.clock.call_at(world.clock.now + for_ms, _heal, world)
 
 
 def _heal(world) -> None:
     world.links.heal()
-    world.discovery.catch_up()
+    world.discovery.resync()
 
 
 def restart(world, for_ms: float) -> None:
     count = max(1, round(RESTARTED * len(world.gateways)))
     for number in world.rng.sample(range(len(world.gateways)), count):
-        world.kill(number)
-        world.clock.at(world.clock.now + DOWN_MS, world.restart, number)
+        world.kill_gateway(number)
+        world.clock.call_at(world.clock.now + DOWN_MS, world.restart_gateway, number)
 
 
 def replace_backends(world, for_ms: float) -> None:
     old = world.rng.sample(list(world.backends.values()), round(REPLACED * len(world.backends)))
     for number, backend in enumerate(old):
-        world.clock.at(world.clock.now + for_ms * number / len(old), _replace, world, backend)
+        world.clock.call_at(world.clock.now + for_ms * number / len(old), _replace, world, backend)
 
 
 def _replace(world, old) -> None:
     new = world.add_backend(len(world.backends), old.zone)
     new.start()
-    world.discovery.change([world.entry(new), world.entry(old, io.BackendState.DRAINING)])
-    world.clock.at(world.clock.now + PARTING_MS, _part, world, old)
+    world.discovery.apply_changes(
+        [world.backend_entry(new), world.backend_entry(old, io.BackendState.DRAINING)]
+    )
+    world.clock.call_at(world.clock.now + PARTING_MS, _part, world, old)
 
 
 def _part(world, backend) -> None:
-    world.stop(backend, Health.DEAD)
-    world.discovery.change([world.entry(backend, io.BackendState.REMOVED)])
+    world.stop_backend(backend, Health.DEAD)
+    world.discovery.apply_changes([world.backend_entry(backend, io.BackendState.REMOVED)])
 
 
 def changes(world, for_ms: float) -> None:
@@ -114,27 +116,27 @@
     names = list(world.backends)
     for number in range(count):
         name, weight = world.rng.choice(names), world.rng.uniform(0.8, 1.25)
-        world.clock.at(world.clock.now + for_ms * number / count, _reweigh, world, name, weight)
+        world.clock.call_at(world.clock.now + for_ms * number / count, _reweigh, world, name, weight)
 
 
 def _reweigh(world, name: str, weight: float) -> None:
     if name in world.discovery.entries:  # not removed meanwhile
-        world.discovery.change([replace(world.discovery.entries[name], weight=weight)])
+        world.discovery.apply_changes([replace(world.discovery.entries[name], weight=weight)])
 
 
 def counter_slow(world, for_ms: float) -> None:
-    world.counter.slow = COUNTER_SLOW
-    world.clock.at(world.clock.now + for_ms, setattr, world.counter, "slow", 1.0)
+    world.counter.slowdown = COUNTER_SLOW
+    world.clock.call_at(world.clock.now + for_ms, setattr, world.counter, "slowdown", 1.0)
 
 
 def counter_gone(world, for_ms: float) -> None:
-    world.counter.gone = True
-    world.clock.at(world.clock.now + for_ms, _counter_back, world)
+    world.counter.is_down = True
+    world.clock.call_at(world.clock.now + for_ms, _counter_back, world)
 
 
 def _counter_back(world) -> None:
-    world.counter.empty()
-    world.counter.gone = False
+    world.counter.clear()
+    world.counter.is_down = False
 
 
 FAULTS: dict[str, Fault] = {
--- a/scale/figure.py
+++ b/scale/figure.py
@@ -23,7 +23,7 @@
     command: str = ""
     seeds: tuple[int, ...] = field(default=())
 
-    def slope(self) -> tuple[float, float] | None:
+    def fit_power_law(self) -> tuple[float, float] | None:
         """The power of the size that the value grows with, and the residual of that fit.
 
         A least-squares line through the logarithms: 0 is flat, 1 grows as the size does. The residual is the
@@ -37,8 +37,8 @@
         left = np.log(values) - (power * np.log(sizes) + constant)
         return float(power), float(np.sqrt(np.mean(left**2)))
 
-    def record(self) -> dict:
+    def to_dict(self) -> dict:
         """As JSON has it: the fields, and `slope` and `residual` (null where nothing can be fitted)."""
-        fitted = self.slope()
+        fitted = self.fit_power_law()
         power, residual = fitted if fitted is not None else (None, None)
         return {**asdict(self), "slope": power, "residual": residual}
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -12,22 +12,22 @@
 from cobaltline import Gateway
 from cobaltline import interface as io
 
-from .backends import CONNECT_MS, HANDSHAKE_MS, HANDSHAKE_RTTS, Health, Pool
-from .clients import KINDS, Try
+from .backends import CONNECT_TIMEOUT_MS, HANDSHAKE_MS, HANDSHAKE_RTTS, Health, Pool
+from .clients import REQUEST_KINDS, Try
 
 SWEEP_MS = 1000.0  # between two looks for idle connections (as `elderhub.backends`)
-ERRORS = 0.001  # of the answers; the site draws 0 to 0.002
-FALL_TOLD = 2.0 / 3.0  # of what pushed a backend over, from gateways told of its start: a rule is broken
+ERROR_SHARE = 0.001  # of the answers; the site draws 0 to 0.002
+OVERLOAD_INFORMED_SHARE = 2.0 / 3.0  # of that load from gateways told of its start: a rule is broken
 SOCKETS_MS = 50.0  # the protocol page: on sockets every time limit is so much longer
 
 
 class Attempt:
     """One attempt out: which try, which number, and the connection it goes over."""
 
-    __slots__ = ("order", "trying", "number", "backend", "pool", "life", "sent", "over", "lost")
+    __slots__ = ("sequence", "client_try", "number", "backend", "pool", "life", "sent", "over", "lost")
 
     def __init__(self, order: int, trying: Try, number: int, pool: Pool, sent: float):
-        self.order, self.trying, self.number, self.sent = order, trying, number, sent
+        self.sequence, self.client_try, self.number, self.sent = order, trying, number, sent
         self.pool, self.backend, self.life = pool, pool.backend, -1  # -1: no connection yet
         self.over = self.lost = False
 
@@ -61,7 +61,7 @@
             io.Log: self._log,
             io.SendPeerMessage: self._tell,
         }
-        world.clock.at(world.clock.now + SWEEP_MS, self._sweep)
+        world.clock.call_at(world.clock.now + SWEEP_MS, self._sweep)
 
     # Events in, actions out.
 
@@ -103,10 +103,10 @@
 
     def _set_timer(self, action: io.SetTimer) -> None:
         when = self.world.clock.now + math.ceil(max(0.0, action.delay_ms))  # whole ms, as the loop counts
-        self.world.clock.at(when, self.put, io.TimerFired(action.token))
+        self.world.clock.call_at(when, self.put, io.TimerFired(action.token))
 
     def _log(self, action: io.Log) -> None:
-        self.world.record.logs += 1
+        self.world.record.log_lines += 1
 
     def _broken(self, what: str) -> None:
         self.world.record.broken[what] += 1
@@ -125,7 +125,7 @@
                 self._broken("a second final answer")
             return None
         t.done = True
-        if self.world.clock.now > t.deadline + self.settings.answer_slack_ms + SOCKETS_MS:
+        if self.world.clock.now > t.deadline_ms + self.settings.answer_slack_ms + SOCKETS_MS:
             self._broken("a late final answer")
         return t
 
@@ -134,20 +134,22 @@
         if t is None:
             return
         w = self.world
-        if KINDS[t.kind].io_class.idempotency is io.Idempotency.UNSAFE and (t.ran or t.out):
+        if REQUEST_KINDS[t.kind].request_class.idempotency is io.Idempotency.UNSAFE and (
+            t.may_have_run or t.in_flight_attempts
+        ):
             self._broken("refused what may have run")
         w.record.refused += 1
-        if not t.sends:
-            room, half = w.accounts[t.customer].room(w.clock.now, t.units)
+        if not t.attempt_count:
+            room, half = w.accounts[t.customer].headroom(w.clock.now, t.units)
             w.record.refused_with_room += room
             w.record.refused_half_unused += half
-        w.clients.ended(t, "refused", action.retry_after_ms)
+        w.clients.handle_outcome(t, "refused", action.retry_after_ms)
 
     def _fail(self, action: io.Fail) -> None:
         t = self._finish(action.request)
         if t is not None:
             self.world.record.failed += 1
-            self.world.clients.ended(t, "failed")
+            self.world.clients.handle_outcome(t, "failed")
 
     # Attempts.
 
@@ -157,67 +159,67 @@
         if t is None:
             self._broken("sent on after its end")
             return
-        if t.out and not self.settings.may_duplicate:
+        if t.in_flight_attempts and not self.settings.may_duplicate:
             self._broken("two attempts at once")
-        if t.ran and KINDS[t.kind].io_class.idempotency is io.Idempotency.UNSAFE:
+        if t.may_have_run and REQUEST_KINDS[t.kind].request_class.idempotency is io.Idempotency.UNSAFE:
             self._broken("repeated what may have run")
         left_at = self._left_at.get(action.backend)
         if left_at is not None and now > left_at + self.settings.drain_grace_ms + SOCKETS_MS:
             self._broken("sent to a backend that had left")
         account = w.accounts[t.customer]
-        first = not t.sends
+        first = not t.attempt_count
         if first:
             self._account(t, account, now)
         pool = self._pools.get(action.backend)
         if pool is None:
             pool = self._pools[action.backend] = Pool(w.backends[action.backend])
-        w.order += 1
-        attempt = Attempt(w.order, t, t.sends, pool, now)
-        t.out[t.sends] = attempt
-        t.sends += 1
-        account.out += 1
+        w.attempts_started += 1
+        attempt = Attempt(w.attempts_started, t, t.attempt_count, pool, now)
+        t.in_flight_attempts[t.attempt_count] = attempt
+        t.attempt_count += 1
+        account.in_flight += 1
         w.record.attempts += 1
         self._attempts[t.request, attempt.number] = attempt
         ready = self._connect(attempt, now)
         if first and ready is not None:
-            w.record.added.record_value(max(1, int((ready - t.arrived) * 1000.0)))
+            w.record.added.record_value(max(1, int((ready - t.arrived_ms) * 1000.0)))
 
     def _account(self, t: Try, account, now: float) -> None:
         w = self.world
-        w.record.decided.record_value(max(1, int((now - t.arrived) * 1000.0)))
-        w.record.waited += isinstance(self._event, io.CounterResult)
-        if account.over_ceiling(now, t.units):
+        w.record.decided.record_value(max(1, int((now - t.arrived_ms) * 1000.0)))
+        w.record.sent_after_counter_call += isinstance(self._event, io.CounterResult)
+        if account.exceeds_ceiling(now, t.units):
             self._broken("over the ceiling")
-        t.within = account.sent(now, t.units)
-        if t.within:
-            w.record.inside += 1
-            w.record.worth_inside += t.worth
+        t.within_quota = account.take_quota(now, t.units)
+        if t.within_quota:
+            w.record.sent_inside_quota += 1
+            w.record.worth_inside_quota += t.worth
         else:
-            w.record.beyond += 1
-            w.record.worth_beyond += t.worth
+            w.record.sent_beyond_quota += 1
+            w.record.worth_beyond_quota += t.worth
             cost = t.worth * account.plan.overrun_cost
-            w.record.beyond_cost += cost
-            w.second(now).beyond += cost
+            w.record.beyond_quota_cost += cost
+            w.second_at(now).beyond += cost
 
     def _connect(self, attempt: Attempt, now: float) -> float | None:
         """Bring it on a connection; when that is ready, or None if it never is."""
         w, backend = self.world, attempt.backend
-        link_ms = w.links.delay(self.zone, backend.zone)
-        heard = backend.health is not Health.SILENT and w.links.reach(self.zone, backend.zone)
-        if heard and backend.health is Health.UP and attempt.pool.take(now):
+        link_ms = w.links.delay_ms(self.zone, backend.zone)
+        heard = backend.health is not Health.SILENT and w.links.can_reach(self.zone, backend.zone)
+        if heard and backend.health is Health.UP and attempt.pool.acquire(now):
             ready = now
         elif not heard:
-            until = min(now + CONNECT_MS, attempt.trying.deadline)
-            w.clock.at(until, self._ended, attempt, io.Outcome.CONNECT_FAILED)
+            until = min(now + CONNECT_TIMEOUT_MS, attempt.client_try.deadline_ms)
+            w.clock.call_at(until, self._ended, attempt, io.Outcome.CONNECT_FAILED)
             return None
         elif backend.health is Health.DEAD or not attempt.pool.open():
-            w.clock.at(now + 2.0 * link_ms, self._ended, attempt, io.Outcome.CONNECT_FAILED)
+            w.clock.call_at(now + 2.0 * link_ms, self._ended, attempt, io.Outcome.CONNECT_FAILED)
             return None
         else:
             w.record.connections += 1
             ready = now + HANDSHAKE_RTTS * 2.0 * link_ms + HANDSHAKE_MS
-        attempt.life = backend.life
-        w.clock.at(ready + link_ms, self._reach, attempt, link_ms)
+        attempt.life = backend.incarnation
+        w.clock.call_at(ready + link_ms, self._reach, attempt, link_ms)
         return ready
 
     def _reach(self, attempt: Attempt, link_ms: float) -> None:
@@ -225,68 +227,68 @@
         if attempt.over:
             return
         w, backend = self.world, attempt.backend
-        if backend.health is Health.DEAD or backend.life != attempt.life:
-            w.clock.at(w.clock.now + link_ms, self._ended, attempt, io.Outcome.RESET)
+        if backend.health is Health.DEAD or backend.incarnation != attempt.life:
+            w.clock.call_at(w.clock.now + link_ms, self._ended, attempt, io.Outcome.RESET)
             return
-        if backend.health is Health.SILENT or not w.links.reach(self.zone, backend.zone):
+        if backend.health is Health.SILENT or not w.links.can_reach(self.zone, backend.zone):
             self._unheard(attempt)
             return
-        told = self._started.get(backend.name, 0.0) >= backend.started
-        if backend.weigh(attempt.trying.work_ms, told):
-            w.record.fallen += 1
-            if backend.told_share() > FALL_TOLD:
+        told = self._started.get(backend.name, 0.0) >= backend.start_time_ms
+        if backend.record_attempt(attempt.client_try.work_ms, told):
+            w.record.overloaded_cold_backends += 1
+            if backend.informed_share() > OVERLOAD_INFORMED_SHARE:
                 self._broken("a cold backend pushed over")
-            w.stop(backend, Health.DEAD)
-        done = None if backend.health is Health.DEAD else backend.serve(attempt.trying.work_ms)
+            w.stop_backend(backend, Health.DEAD)
+        done = None if backend.health is Health.DEAD else backend.serve(attempt.client_try.work_ms)
         if done is None:
-            w.clock.at(w.clock.now + link_ms, self._ended, attempt, io.Outcome.OVERLOADED)
+            w.clock.call_at(w.clock.now + link_ms, self._ended, attempt, io.Outcome.OVERLOADED)
             return
-        backend.held.add(attempt)
-        outcome = io.Outcome.ERROR if w.rng.random() < ERRORS else io.Outcome.OK
+        backend.pending_attempts.add(attempt)
+        outcome = io.Outcome.ERROR if w.rng.random() < ERROR_SHARE else io.Outcome.OK
         back = done + link_ms
-        if back > attempt.trying.deadline:
-            back, outcome = attempt.trying.deadline, io.Outcome.TIMEOUT
-        w.clock.at(back, self._answered, attempt, outcome)
+        if back > attempt.client_try.deadline_ms:
+            back, outcome = attempt.client_try.deadline_ms, io.Outcome.TIMEOUT
+        w.clock.call_at(back, self._answered, attempt, outcome)
 
     def _unheard(self, attempt: Attempt) -> None:
         attempt.lost = True
-        self.world.clock.at(attempt.trying.deadline, self._ended, attempt, io.Outcome.TIMEOUT)
+        self.world.clock.call_at(attempt.client_try.deadline_ms, self._ended, attempt, io.Outcome.TIMEOUT)
 
     def _answered(self, attempt: Attempt, outcome: io.Outcome) -> None:
-        attempt.backend.held.discard(attempt)
+        attempt.backend.pending_attempts.discard(attempt)
         if attempt.over or attempt.lost:
             return
-        if not self.world.links.reach(self.zone, attempt.backend.zone):
+        if not self.world.links.can_reach(self.zone, attempt.backend.zone):
             self._unheard(attempt)
         else:
             self._ended(attempt, outcome)
 
-    def stopped(self, attempt: Attempt, health: Health) -> None:
+    def on_backend_stopped(self, attempt: Attempt, health: Health) -> None:
         """The backend that held it has died, or fell silent."""
         if attempt.over or attempt.lost:
             return
         if health is Health.SILENT:
             self._unheard(attempt)
         else:
-            link_ms = self.world.links.delay(self.zone, attempt.backend.zone)
+            link_ms = self.world.links.delay_ms(self.zone, attempt.backend.zone)
             attempt.lost = True
-            self.world.clock.at(self.world.clock.now + link_ms, self._ended, attempt, io.Outcome.RESET)
+            self.world.clock.call_at(self.world.clock.now + link_ms, self._ended, attempt, io.Outcome.RESET)
 
     def _ended(self, attempt: Attempt, outcome: io.Outcome) -> None:
         if attempt.over:
             return
-        w, t, now = self.world, attempt.trying, self.world.clock.now
+        w, t, now = self.world, attempt.client_try, self.world.clock.now
         attempt.over = True
         w.record.outcomes[outcome.value] += 1
         if attempt.life >= 0:
             kept = outcome in (io.Outcome.OK, io.Outcome.ERROR, io.Outcome.OVERLOADED)
-            attempt.pool.end(now, attempt.life, kept)
-        w.accounts[t.customer].out -= 1
-        del t.out[attempt.number]
+            attempt.pool.release(now, attempt.life, kept)
+        w.accounts[t.customer].in_flight -= 1
+        del t.in_flight_attempts[attempt.number]
         self._attempts.pop((t.request, attempt.number), None)
         if self.dead:
             return
-        t.ran = t.ran or outcome not in io.NEVER_RAN
+        t.may_have_run = t.may_have_run or outcome not in io.NEVER_RAN
         answers = outcome is io.Outcome.OK and t.request in self._open
         if answers:
             self._finish(t.request)
@@ -296,7 +298,7 @@
             )
         )
         if answers:
-            w.clients.ended(t, "served")
+            w.clients.handle_outcome(t, "served")
 
     def _cancel(self, action: io.Cancel) -> None:
         if not self.settings.may_cancel:
@@ -304,19 +306,19 @@
         attempt = self._attempts.get((action.request, action.attempt))
         if attempt is not None and not attempt.over:
             # What is on its way already runs: nothing is taken back from a backend.
-            self.world.clock.at(self.world.clock.now, self._ended, attempt, io.Outcome.CANCELLED)
+            self.world.clock.call_at(self.world.clock.now, self._ended, attempt, io.Outcome.CANCELLED)
 
     def _sweep(self) -> None:
         if self.dead:
             return
         now = self.world.clock.now
-        self._pools = {name: pool for name, pool in self._pools.items() if not pool.retire(now)}
-        self.world.clock.at(now + SWEEP_MS, self._sweep)
+        self._pools = {name: pool for name, pool in self._pools.items() if not pool.close_idle(now)}
+        self.world.clock.call_at(now + SWEEP_MS, self._sweep)
 
     def _close_idle(self, action: io.CloseIdle) -> None:
         pool = self._pools.get(action.backend)
         if pool is not None:
-            pool.retire(self.world.clock.now, 0.0)
+            pool.close_idle(self.world.clock.now, 0.0)
 
     # All else.
 
@@ -329,18 +331,18 @@
             name = getattr(event, "name", action.name)
             plan = self._plan_of.get(name) or self._plan_of.get(action.name, "other")
         self._plan_of[action.name] = plan
-        self.world.second(self.world.clock.now).calls += 1
+        self.world.second_at(self.world.clock.now).calls += 1
         self.world.counter.call(self.zone, action, plan, self.put)
 
     def _probe(self, action: io.Probe) -> None:
         w, backend = self.world, self.world.backends[action.backend]
-        up = backend.health is Health.UP and w.links.reach(self.zone, backend.zone)
-        took = 2.0 * w.links.delay(self.zone, backend.zone) if up else CONNECT_MS
+        up = backend.health is Health.UP and w.links.can_reach(self.zone, backend.zone)
+        took = 2.0 * w.links.delay_ms(self.zone, backend.zone) if up else CONNECT_TIMEOUT_MS
         outcome = io.Outcome.OK if up else io.Outcome.CONNECT_FAILED
-        w.clock.at(w.clock.now + took, self.put, io.ProbeResult(action.backend, outcome, took))
+        w.clock.call_at(w.clock.now + took, self.put, io.ProbeResult(action.backend, outcome, took))
 
     def _fetch(self, action) -> None:
-        self.world.discovery.fetch(self)
+        self.world.discovery.send_full_list(self)
 
     # The end.
 
@@ -351,14 +353,14 @@
         for attempt in list(self._attempts.values()):
             self._ended(attempt, io.Outcome.RESET)
         for pool in self._pools.values():
-            pool.retire(now, 0.0)
+            pool.close_idle(now, 0.0)
         opened, self._open = self._open, {}
         for t in opened.values():
             t.done = True
             self.world.record.lost += 1
-            self.world.clients.ended(t, "lost")
+            self.world.clients.handle_outcome(t, "lost")
 
     def unanswered(self) -> int:
         """Requests still open though their time is up."""
         late = self.settings.answer_slack_ms + SOCKETS_MS
-        return sum(1 for t in self._open.values() if self.world.clock.now > t.deadline + late)
+        return sum(1 for t in self._open.values() if self.world.clock.now > t.deadline_ms + late)
--- a/scale/links.py
+++ b/scale/links.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-SAME_MS = 0.2  # one way inside a zone; the site draws 0.08 to 0.35
+SAME_ZONE_DELAY_MS = 0.2  # one way inside a zone; the site draws 0.08 to 0.35
 ZONE_MS = 2.0  # between zones of a region; the site draws 1.4 to 2.6
 REGION_MS = 15.0  # between regions, some thousand km of fibre apart
 
@@ -22,17 +22,17 @@
 
     def _between(self, a: str, b: str) -> float:
         if a == b:
-            return SAME_MS
+            return SAME_ZONE_DELAY_MS
         return ZONE_MS if self._region[a] == self._region[b] else REGION_MS
 
-    def delay(self, a: str, b: str) -> float:
+    def delay_ms(self, a: str, b: str) -> float:
         """One way, in ms."""
         return self._delay[a, b]
 
-    def region(self, number: int) -> list[str]:
+    def zones_in_region(self, number: int) -> list[str]:
         return [zone for zone in self.zones if self._region[zone] == number]
 
-    def part(self, zones: list[str]) -> None:
+    def partition(self, zones: list[str]) -> None:
         """Cut these off from all others; among one another they still reach."""
         self.cut.update(zones)
         for zone in zones:
@@ -43,5 +43,5 @@
         self._group.clear()
         self.on_heal()
 
-    def reach(self, a: str, b: str) -> bool:
+    def can_reach(self, a: str, b: str) -> bool:
         return not self.cut or self._group.get(a, 0) == self._group.get(b, 0)
--- a/scale/plays.py
+++ b/scale/measurements.py
@@ -8,14 +8,14 @@
 from time import monotonic
 
 from . import costs
-from .costs import DESIGN_GATEWAYS, PER_GATEWAY_S, Sized
+from .costs import DESIGN_GATEWAYS, REQUESTS_PER_GATEWAY_PER_S, MeasurementPoint
 from .faults import FAULTS
 from .figure import Figure
 from .world import Options, World, play
 
-PROCESSES = 4  # plays side by side: each takes a core and some hundred MB
+DEFAULT_PROCESSES = 4  # plays side by side: each takes a core and some hundred MB
 HARM = 0.03  # of the worth asked: a second that serves so much less than without the fault is harmed
-SMOOTH = 2  # seconds that are taken together for this
+SMOOTHING_S = 2  # seconds that are taken together for this
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,19 +40,19 @@
     sizes: tuple[int, ...]
     short: tuple[int, ...]  # the sizes of the short form
     about: str
-    measure: Callable[[Sized], dict]
+    measure: Callable[[MeasurementPoint], dict]
     values: tuple[Value, ...]
     alone: bool = False
 
 
-def sets(sized: Sized) -> dict:
+def sets(sized: MeasurementPoint) -> dict:
     """A steady day: a gateway of a large set sees a customer each ten seconds or more, and has to know it."""
-    gateways, seconds = (8 if sized.short else 16), sized.seconds(180.0)
+    gateways, seconds = (8 if sized.short else 16), sized.duration_s(180.0)
     return play(
         Options(
             gateways=gateways,
             backends=4 * gateways,
-            rate=gateways * PER_GATEWAY_S / 2.0,
+            rate=gateways * REQUESTS_PER_GATEWAY_PER_S / 2.0,
             mix="table",
             spread=(sized.size, sized.size),
             counter_per_try=4.0,
@@ -63,75 +63,75 @@
     )
 
 
-def customers(sized: Sized) -> dict:
+def customers(sized: MeasurementPoint) -> dict:
     gateways = 8 if sized.short else 16
     return play(
         Options(
             gateways=gateways,
             backends=4 * gateways,
-            rate=gateways * PER_GATEWAY_S,
+            rate=gateways * REQUESTS_PER_GATEWAY_PER_S,
             mix="table",
             spread=(8, 8),
             customers=sized.size,
             counter_per_try=4.0,
-            seconds=sized.seconds(12.0),
+            seconds=sized.duration_s(12.0),
             seed=sized.seed,
         )
     )
 
 
-def regions(sized: Sized) -> dict:
+def regions(sized: MeasurementPoint) -> dict:
     gateways = 8 if sized.short else 30
     return play(
         Options(
             gateways=gateways,
             backends=4 * gateways,
-            rate=gateways * PER_GATEWAY_S,
+            rate=gateways * REQUESTS_PER_GATEWAY_PER_S,
             mix="table",
             zones=15,
             regions=sized.size,
             spread=(8, 8),
             counter_per_try=4.0,
-            seconds=sized.seconds(12.0),
+            seconds=sized.duration_s(12.0),
             seed=sized.seed,
         )
     )
 
 
-def lists(sized: Sized) -> dict:
+def lists(sized: MeasurementPoint) -> dict:
     return play(
         Options(
             gateways=2,
             fleet=DESIGN_GATEWAYS,
             backends=sized.size,
-            rate=2.0 * PER_GATEWAY_S,
+            rate=2.0 * REQUESTS_PER_GATEWAY_PER_S,
             mix="table",
             spread=(2, 2),
             counter_per_try=4.0,
-            seconds=sized.seconds(20.0),
+            seconds=sized.duration_s(20.0),
             seed=sized.seed,
         )
     )
 
 
-def _fleet(sized: Sized, counter_per_try: float) -> dict:
+def _fleet(sized: MeasurementPoint, counter_per_try: float) -> dict:
     return play(
         Options(
             gateways=sized.size,
             backends=sized.size,
             spread=(4, 8) if sized.short else (8, 30),
             counter_per_try=counter_per_try,
-            seconds=sized.seconds(12.0),
+            seconds=sized.duration_s(12.0),
             seed=sized.seed,
         )
     )
 
 
-def fleet_crowded(sized: Sized) -> dict:
+def fleet_crowded(sized: MeasurementPoint) -> dict:
     return _fleet(sized, 0.25)
 
 
-def fleet_ample(sized: Sized) -> dict:
+def fleet_ample(sized: MeasurementPoint) -> dict:
     return _fleet(sized, 2.0)
 
 
@@ -142,7 +142,7 @@
         gateways=size,
         backends=backends,
         cores=2,
-        rate=size * PER_GATEWAY_S,
+        rate=size * REQUESTS_PER_GATEWAY_PER_S,
         mix="table",
         spread=(8, 8),
         counter_per_try=4.0,
@@ -150,19 +150,19 @@
     )
 
 
-def balance(sized: Sized) -> dict:
-    return play(replace(_ratio(sized.size), seconds=sized.seconds(10.0), seed=sized.seed))
+def balance(sized: MeasurementPoint) -> dict:
+    return play(replace(_ratio(sized.size), seconds=sized.duration_s(10.0), seed=sized.seed))
 
 
-def cold(sized: Sized) -> dict:
+def cold(sized: MeasurementPoint) -> dict:
     return play(
         replace(
             _ratio(sized.size),
-            seconds=sized.seconds(10.0),
+            seconds=sized.duration_s(10.0),
             seed=sized.seed,
             faults=("replace",),
             fault_at=1.0,
-            fault_for=sized.seconds(7.0),
+            fault_for=sized.duration_s(7.0),
         )
     )
 
@@ -316,12 +316,12 @@
 )
 
 
-def _timed(measure: Callable[[Sized], dict], sized: Sized) -> tuple[dict, float]:
+def _timed(measure: Callable[[MeasurementPoint], dict], sized: MeasurementPoint) -> tuple[dict, float]:
     began = monotonic()
     return measure(sized), monotonic() - began
 
 
-def figures(
+def measure_figures(
     chosen: Iterable[Series],
     seed: int,
     short: bool,
@@ -342,7 +342,8 @@
             continue
         with ProcessPoolExecutor(side_by_side) as pool:
             calls = {
-                pool.submit(_timed, x.measure, Sized(size, seed, short)): (x.name, size) for x, size in wave
+                pool.submit(_timed, x.measure, MeasurementPoint(size, seed, short)): (x.name, size)
+                for x, size in wave
             }
             for call in as_completed(calls):
                 record, took = call.result()
@@ -398,17 +399,21 @@
     at, end = int(options.fault_at), int(options.fault_at + options.fault_for)
     mine, without, last = played["seconds"], calm["seconds"], int(options.seconds)
     windows = [
-        (second, _over(mine, second, second + SMOOTH, 1), _over(without, second, second + SMOOTH, 1))
-        for second in range(at, last - SMOOTH + 1)
+        (
+            second,
+            _over(mine, second, second + SMOOTHING_S, 1),
+            _over(without, second, second + SMOOTHING_S, 1),
+        )
+        for second in range(at, last - SMOOTHING_S + 1)
     ]
     record = played["figures"]
     harmed = [second for second, served, usual in windows if served < usual - HARM]
     return Harm(
         fault,
-        _over(mine, 0, at - SMOOTH, 1),
+        _over(mine, 0, at - SMOOTHING_S, 1),
         _over(mine, at, end, 1),
         min(served for _, served, _ in windows),
-        float(harmed[-1] + SMOOTH - at) if harmed else 0.0,
+        float(harmed[-1] + SMOOTHING_S - at) if harmed else 0.0,
         _over(mine, at, end, 2),
         _over(without, at, end, 2),
         record["lost"],
@@ -417,7 +422,7 @@
     )
 
 
-def faults(
+def measure_faults(
     names: Iterable[str],
     options: Options,
     processes: int,
--- a/scale/oracle.py
+++ b/scale/oracle.py
@@ -32,35 +32,35 @@
 class Account:
     """One customer: what was truly sent on, and what a single gateway would have let in."""
 
-    __slots__ = ("plan", "_quota", "_asked", "_ceiling", "out")
+    __slots__ = ("plan", "_quota", "_asked", "_ceiling", "in_flight")
 
     def __init__(self, plan: io.Plan, now: float):
         self.plan = plan
         self._quota = Store(plan.rate, plan.burst, now)
         self._asked = Store(plan.rate, plan.burst, now)
         self._ceiling = Store(plan.ceiling_rate, plan.ceiling_burst, now) if plan.ceiling_rate else None
-        self.out = 0  # attempts out
+        self.in_flight = 0  # attempts out
 
-    def asked(self, now: float, units: float) -> bool:
+    def admits_first_try(self, now: float, units: float) -> bool:
         """A first try has come; whether one gateway that saw all of these would let it in."""
         return self._asked.take(now, units)
 
-    def sent(self, now: float, units: float) -> bool:
+    def take_quota(self, now: float, units: float) -> bool:
         """A try is sent on for the first time; whether it is inside the quota, whose units it then takes."""
-        if self.plan.max_concurrency and self.out >= self.plan.max_concurrency:
+        if self.plan.max_concurrency and self.in_flight >= self.plan.max_concurrency:
             return False
         return self._quota.take(now, units)
 
-    def over_ceiling(self, now: float, units: float) -> bool:
+    def exceeds_ceiling(self, now: float, units: float) -> bool:
         """The same try, against the ceiling: it draws whether there is room or not."""
         if self._ceiling is None:
             return False
         self._ceiling.level = self._ceiling.fill(now) - units
         return self._ceiling.level < -self.plan.ceiling_tolerance - EXACT
 
-    def room(self, now: float, units: float) -> tuple[bool, bool]:
+    def headroom(self, now: float, units: float) -> tuple[bool, bool]:
         """A try is refused: whether it was inside each quota, and half of each was unused besides."""
         limit = self.plan.max_concurrency
         left = self._quota.fill(now) - units
-        fits = left >= -EXACT and (not limit or self.out < limit)
-        return fits, fits and left >= self.plan.burst / 2.0 and (not limit or self.out <= limit / 2.0)
+        fits = left >= -EXACT and (not limit or self.in_flight < limit)
+        return fits, fits and left >= self.plan.burst / 2.0 and (not limit or self.in_flight <= limit / 2.0)
--- a/scale/program.py
+++ b/scale/program.py
@@ -16,7 +16,7 @@
 LISTEN_HOST = "127.0.0.2"  # for ports chosen ahead: connections going out take theirs on 127.0.0.1
 POLL_S = 0.004  # between two looks whether a gateway is ready
 BACKENDS_PER_GATEWAY = 26000 / 3100  # of the design; the program paces itself by the gateways' number
-SETTINGS = {
+BASE_SETTINGS = {
     "me": 0,
     "zone": "z0",
     "resolutionMs": 4.0,
@@ -47,12 +47,12 @@
         "overloadForMs": 3000.0,
     },
 }
-LIMITS = {"cores": 1.0, "memory_mb": 128, "sockets": 1024}
+DEFAULT_LIMITS = {"cores": 1.0, "memory_mb": 128, "sockets": 1024}
 
-METER_LEAST_MS = 1.0  # what the meter tells; a loop that takes no longer steps is told as this
+METER_RESOLUTION_MS = 1.0  # what the meter tells; a loop that takes no longer steps is told as this
 # Looks each millisecond how late it is itself: by the longest step that the loop took meanwhile. The time for
 # which the process waited for a processor, as the kernel counts it, is the machine's and taken off. Appends
-# when, and by how much, where that is over METER_LEAST_MS.
+# when, and by how much, where that is over METER_RESOLUTION_MS.
 METER = f"""
 import asyncio, time
 from elderhub import __main__ as main
@@ -66,7 +66,7 @@
     while True:
         await asyncio.sleep(TICK_S)
         late_s = moment() - before - TICK_S
-        if late_s > {METER_LEAST_MS / 1000}:
+        if late_s > {METER_RESOLUTION_MS / 1000}:
             print(time.monotonic(), late_s, file=out, flush=True)
         before = moment()
 async def metered(config):
@@ -82,7 +82,7 @@
 
 def fleet_settings(size: int) -> dict:
     """Of one gateway of a fleet that is to `size` backends as the design's is to its 26,000."""
-    return {**SETTINGS, "instances": max(2, round(size / BACKENDS_PER_GATEWAY))}
+    return {**BASE_SETTINGS, "instances": max(2, round(size / BACKENDS_PER_GATEWAY))}
 
 
 def free_port(host: str) -> int:
@@ -109,7 +109,7 @@
         metered: bool = False,
         patch: str = "",
         host: str = LISTEN_HOST,
-        limits: dict = LIMITS,
+        limits: dict = DEFAULT_LIMITS,
     ):
         self._counter, self._known, self._settings = counter, known, settings
         self._limits = limits
@@ -161,11 +161,11 @@
                 stderr=log,
             )
 
-    async def ready(self, within_s: float, given_up=lambda: False) -> float | None:
+    async def wait_until_ready(self, within_s: float, given_up=lambda: False) -> float | None:
         """Seconds from exec until /healthz answers 200; none where it never does."""
         while time.monotonic() < self.began + within_s and not given_up():
             if self.process.returncode is not None:
-                raise RuntimeError(f"a gateway ended with {self.process.returncode}: {self.told()}")
+                raise RuntimeError(f"a gateway ended with {self.process.returncode}: {self.log_tail()}")
             if await self._healthy():
                 return time.monotonic() - self.began
             await asyncio.sleep(POLL_S)
@@ -184,7 +184,7 @@
         finally:
             writer.close()
 
-    def told(self) -> str:
+    def log_tail(self) -> str:
         """The end of what it wrote."""
         return self._file("log").read_text()[-2000:]
 
@@ -200,8 +200,8 @@
         return int(kib["VmRSS"]) / 1024, int(kib["VmHWM"]) / 1024
 
     def longest_step_ms(self, since: float, until: float) -> float:
-        """Of the loop, between two moments; METER_LEAST_MS where all were shorter."""
-        longest = METER_LEAST_MS
+        """Of the loop, between two moments; METER_RESOLUTION_MS where all were shorter."""
+        longest = METER_RESOLUTION_MS
         if self._meter.exists():
             for line in self._meter.read_text().splitlines():
                 at, step_s = map(float, line.split())
@@ -212,7 +212,7 @@
     def reload(self) -> None:
         self.process.send_signal(signal.SIGHUP)
 
-    async def end(self) -> None:
+    async def kill(self) -> None:
         with contextlib.suppress(ProcessLookupError):
             self.process.kill()
         await self.process.wait()
--- a/scale/record.py
+++ b/scale/record.py
@@ -35,8 +35,8 @@
 
     first_tries: int = 0
     tries: int = 0
-    inside: int = 0  # tries sent on that the store held the units for
-    beyond: int = 0
+    sent_inside_quota: int = 0  # tries sent on that the store held the units for
+    sent_beyond_quota: int = 0
     refused: int = 0
     refused_with_room: int = 0  # never sent on, and inside each quota as they were refused
     refused_half_unused: int = 0  # and half of each quota or more was unused besides
@@ -44,17 +44,17 @@
     served: int = 0
     served_late: int = 0
     lost: int = 0  # with the gateway that held them
-    left: int = 0  # their clients went
-    waited: int = 0  # first sent on when a counter call had answered
+    abandoned: int = 0  # their clients went
+    sent_after_counter_call: int = 0  # first sent on when a counter call had answered
     worth_asked: float = 0.0  # by first tries, inside the quotas
-    worth_inside: float = 0.0
-    worth_beyond: float = 0.0
-    beyond_cost: float = 0.0  # worth beyond x the plan's overrun cost
+    worth_inside_quota: float = 0.0
+    worth_beyond_quota: float = 0.0
+    beyond_quota_cost: float = 0.0  # worth beyond x the plan's overrun cost
     worth_served: float = 0.0  # inside the quotas, within the aim
     attempts: int = 0
     connections: int = 0  # opened
-    fallen: int = 0  # cold backends pushed over
-    logs: int = 0
+    overloaded_cold_backends: int = 0  # cold backends pushed over
+    log_lines: int = 0
     tries_by_plan: Counts[str] = field(default_factory=Counts)
     broken: Counts[str] = field(default_factory=Counts)
     outcomes: Counts[str] = field(default_factory=Counts)
@@ -64,7 +64,7 @@
     seconds: list[Second] = field(default_factory=list)
 
 
-def share(part: float, whole: float) -> float:
+def ratio(part: float, whole: float) -> float:
     return part / whole if whole else 0.0
 
 
@@ -74,55 +74,55 @@
     return found / 1000.0 if found > 1 else 0.0
 
 
-def figures(world) -> dict[str, float | int | dict]:
+def compute_figures(world) -> dict[str, float | int | dict]:
     """The record of a play that is over, as plain numbers: what a table or JSON shows, and tests compare."""
     r: Record = world.record
     counter, backends = world.counter, world.backends.values()
     # Busy time of a core for what a backend can do: backends of unlike speed are compared by it.
     loads = [b.busy_ms / b.cores for b in backends]
-    cold = [b.cold_load for b in backends if b.cold_load]
-    sent = r.inside + r.beyond
+    cold = [b.peak_cold_load for b in backends if b.peak_cold_load]
+    sent = r.sent_inside_quota + r.sent_beyond_quota
     asked_by_plan = sum((second.asked_by_plan for second in r.seconds), Counts())
     served_by_plan = sum((second.served_by_plan for second in r.seconds), Counts())
     return {
         "first_tries": r.first_tries,
         "tries": r.tries,
-        "sent_inside": r.inside,
-        "sent_beyond": r.beyond,
+        "sent_inside": r.sent_inside_quota,
+        "sent_beyond": r.sent_beyond_quota,
         "served": r.served,
         "served_late": r.served_late,
         "refused": r.refused,
         "failed": r.failed,
         "lost": r.lost,
-        "left": r.left,
+        "left": r.abandoned,
         "attempts": r.attempts,
-        "served_worth_share": share(r.worth_served, r.worth_asked),
+        "served_worth_share": ratio(r.worth_served, r.worth_asked),
         "served_worth_share_by_plan": {
-            plan: share(served_by_plan[plan], worth) for plan, worth in sorted(asked_by_plan.items())
+            plan: ratio(served_by_plan[plan], worth) for plan, worth in sorted(asked_by_plan.items())
         },
-        "beyond_price": share(r.beyond_cost, r.worth_asked),
-        "beyond_worth_share": share(r.worth_beyond, r.worth_inside + r.worth_beyond),
-        "refused_with_room_share": share(r.refused_with_room, r.tries),
-        "refused_half_unused_share": share(r.refused_half_unused, r.tries),
+        "beyond_price": ratio(r.beyond_quota_cost, r.worth_asked),
+        "beyond_worth_share": ratio(r.worth_beyond_quota, r.worth_inside_quota + r.worth_beyond_quota),
+        "refused_with_room_share": ratio(r.refused_with_room, r.tries),
+        "refused_half_unused_share": ratio(r.refused_half_unused, r.tries),
         "to_first_attempt_ms_p50": _ms(r.decided, 50.0),
         "to_first_attempt_ms_p99": _ms(r.decided, 99.0),
         "added_ms_p50": _ms(r.added, 50.0),
         "added_ms_p99": _ms(r.added, 99.0),
         "answered_ms_p50": _ms(r.answered, 50.0),
         "answered_ms_p99": _ms(r.answered, 99.0),
-        "waited_for_call_share": share(r.waited, sent),
-        "counter_calls_per_try": share(counter.calls.total(), r.tries),
-        "counter_calls_per_first_try": share(counter.calls.total(), r.first_tries),
+        "waited_for_call_share": ratio(r.sent_after_counter_call, sent),
+        "counter_calls_per_try": ratio(counter.calls.total(), r.tries),
+        "counter_calls_per_first_try": ratio(counter.calls.total(), r.first_tries),
         "counter_calls_by_plan": {
-            plan: share(counter.calls[plan], tries) for plan, tries in sorted(r.tries_by_plan.items())
+            plan: ratio(counter.calls[plan], tries) for plan, tries in sorted(r.tries_by_plan.items())
         },
-        "counter_unanswered_share": share(counter.unanswered, counter.calls.total()),
-        "counter_names_most": counter.most_names,
-        "connections_per_try": share(r.connections, sent),
-        "connections_most_on_a_backend": max((b.most_connections for b in backends), default=0),
-        "busiest_backend_over_mean": share(max(loads, default=0.0), share(sum(loads), len(loads))),
-        "cold_backends_fallen": r.fallen,
-        "changes_in_force_ms": world.discovery.most_late_ms,
+        "counter_unanswered_share": ratio(counter.unanswered, counter.calls.total()),
+        "counter_names_most": counter.peak_names,
+        "connections_per_try": ratio(r.connections, sent),
+        "connections_most_on_a_backend": max((b.peak_connections for b in backends), default=0),
+        "busiest_backend_over_mean": ratio(max(loads, default=0.0), ratio(sum(loads), len(loads))),
+        "cold_backends_fallen": r.overloaded_cold_backends,
+        "changes_in_force_ms": world.discovery.max_propagation_ms,
         "cold_load_of_budget_most": max(cold, default=0.0),
         "customers_seen": len(world.accounts),
         "outcomes": dict(sorted(r.outcomes.items())),
--- a/scale/report.py
+++ b/scale/report.py
@@ -16,7 +16,7 @@
     return f"{value:,}" if isinstance(value, int) else str(value)
 
 
-def table(head: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
+def format_table(head: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
     """Columns as wide as they need to be; all but the first to the right."""
     lines = [list(head), *([number(cell) for cell in row] for row in rows)]
     wide = [max(len(line[column]) for line in lines) for column in range(len(head))]
@@ -27,17 +27,17 @@
     return "\n".join(out)
 
 
-def pairs(found: dict[str, object]) -> str:
+def format_pairs(found: dict[str, object]) -> str:
     wide = max(map(len, found))
     return "\n".join(f"{key.ljust(wide)}  {number(value)}" for key, value in found.items())
 
 
-def slopes(figures: Iterable[Figure]) -> str:
+def format_slopes(figures: Iterable[Figure]) -> str:
     """Each figure at its sizes, with the power that it grows with and the residual of that fit."""
     rows, values = [], ["values"]
     for figure in figures:
-        power, residual = figure.slope() or ("-", "-")
+        power, residual = figure.fit_power_law() or ("-", "-")
         rows.append((figure.name, figure.unit, figure.size_of, power, residual))
         values.append("  ".join(f"{number(float(x))}: {number(float(y))}" for x, y in figure.points))
-    lines = table(("figure", "unit", "by", "slope", "residual"), rows).split("\n")
+    lines = format_table(("figure", "unit", "by", "slope", "residual"), rows).split("\n")
     return "\n".join(f"{line}  {value}" for line, value in zip(lines, values, strict=True))
--- a/scale/standins.py
+++ b/scale/standins.py
@@ -14,12 +14,12 @@
 import time
 from collections.abc import Callable
 
-HOST = "127.0.0.1"
+LOOPBACK_HOST = "127.0.0.1"
 FIRST_HOST = 127 << 24 | 16 << 16  # 127.16.0.0: entry n of a list listens at the n-th address from here
 ZONES = 16  # of the design, round and round over the list
 PIECE_BYTES = 64 * 1024  # of a list, written at a time: the loop has other work to do meanwhile
 HEARTBEAT_S = 2.0  # an empty line comes so often as long as nothing changes
-STARTED_MS = 1_764_000_000_000  # the last start of a backend that has been up for long, in Unix time
+DEFAULT_STARTED_MS = 1_764_000_000_000  # the last start of a backend that has been up for long, in Unix time
 RESTARTED_SHARE = 0.01  # of the entries, that another whole list shows as started anew
 HEARTBEAT = b"1\r\n\n\r\n"
 AFTER = re.compile(rb"after=(\d+)")
@@ -27,7 +27,7 @@
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbeds"
 
 
-class Roster:
+class BackendList:
     """A list of `size` backends, as discovery writes it. Each listens at `port` of an address of its own."""
 
     def __init__(self, size: int, port: int):
@@ -39,7 +39,7 @@
     def host(number: int) -> str:
         return socket.inet_ntoa((FIRST_HOST + number).to_bytes(4))
 
-    def entry(self, number: int, lifecycle: str = "Ready", started_ms: int = STARTED_MS) -> bytes:
+    def entry(self, number: int, lifecycle: str = "Ready", started_ms: int = DEFAULT_STARTED_MS) -> bytes:
         return json.dumps(
             {
                 "instanceId": f"s-{number:08x}",
@@ -54,7 +54,7 @@
             separators=(",", ":"),
         ).encode()
 
-    def prepare(self, count: int) -> None:
+    def prepare_lists(self, count: int) -> None:
         """Make the text of the next whole lists ahead of time, each with some entries that started anew."""
         lines = self._lines
         for k in range(count):
@@ -62,7 +62,7 @@
                 lines[number] = self.entry(number, started_ms=int(time.time() * 1000))
             self._bodies.append(b",".join(lines))
 
-    def next(self) -> None:
+    def advance(self) -> None:
         """The next whole list is discovery's from here on."""
         self.generation += 1
         if len(self._bodies) > 1:
@@ -74,32 +74,32 @@
         self.generation += 1
         self._bodies = [b",".join(self._lines)]
 
-    def whole(self) -> tuple[bytes, bytes, bytes]:
+    def full_list(self) -> tuple[bytes, bytes, bytes]:
         """The list as the parts of one line, without its end: large, and so not joined."""
         return b'{"generation":%d,"reset":true,"instances":[' % self.generation, self._bodies[0], b"]}"
 
-    def changes(self, *entries: bytes) -> bytes:
+    def encode_changes(self, *entries: bytes) -> bytes:
         return b'{"generation":%d,"reset":false,"instances":[%b]}' % (self.generation, b",".join(entries))
 
 
-class Agent:
+class DiscoveryAgent:
     """Discovery's agent on one gateway's machine."""
 
-    def __init__(self, roster: Roster):
-        self.roster = roster
-        self.mute = False  # discovery is down: watches are taken and nothing is said
-        self.whole = False  # every watch begins with the whole list, not only one that names no version
-        self.refused = 0  # watches that the gateway ended after a whole list had begun
-        self.after = 0  # the version that the last watch named
-        self.bytes = 0  # of payload, both ways
+    def __init__(self, roster: BackendList):
+        self.backend_list = roster
+        self.is_silent = False  # discovery is down: watches are taken and nothing is said
+        self.force_full_list = False  # every watch begins with the whole list
+        self.refused_lists = 0  # watches that the gateway ended after a whole list had begun
+        self.resume_version = 0  # the version that the last watch named
+        self.payload_bytes = 0  # of payload, both ways
         self._writer: asyncio.StreamWriter | None = None  # of the last watch
         self._opened = asyncio.Event()
         self._writing = asyncio.Lock()  # a list: nothing else may be written in its middle
         self._server: asyncio.Server | None = None
         self.port = 0
 
-    async def start(self) -> Agent:
-        self._server = await asyncio.start_server(self._serve, HOST, 0)
+    async def start(self) -> DiscoveryAgent:
+        self._server = await asyncio.start_server(self._serve, LOOPBACK_HOST, 0)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
 
@@ -112,16 +112,19 @@
         beat, listed = None, False
         with contextlib.suppress(*ENDS):
             head = await reader.readuntil(b"\r\n\r\n")
-            self.bytes += len(head)
+            self.payload_bytes += len(head)
             named = AFTER.search(head)
-            self.after, self._writer = int(named[1]) if named else 0, writer
+            self.resume_version, self._writer = int(named[1]) if named else 0, writer
             async with self._writing:
                 self._opened.set()
-                if not self.mute:
-                    listed = self.whole or not self.after
+                if not self.is_silent:
+                    listed = self.force_full_list or not self.resume_version
                     await self._write(writer, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                    await self._line(writer, *(self.roster.whole() if listed else (self.roster.changes(),)))
-            if not self.mute:
+                    await self._line(
+                        writer,
+                        *(self.backend_list.full_list() if listed else (self.backend_list.encode_changes(),)),
+                    )
+            if not self.is_silent:
                 beat = asyncio.create_task(self._beat(writer))
             await reader.read()  # until the gateway ends it
         if beat is not None:
@@ -129,7 +132,7 @@
         if self._writer is writer:  # not ended by us
             self._writer = None
             if listed:
-                self.refused, self.whole = self.refused + 1, False  # it would only be refused again
+                self.refused_lists, self.force_full_list = self.refused_lists + 1, False  # else refused again
         writer.transport.abort()
 
     async def _beat(self, writer: asyncio.StreamWriter) -> None:
@@ -148,21 +151,21 @@
     async def _write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         if writer.is_closing():
             raise ConnectionResetError("the gateway has ended")
-        self.bytes += len(data)
+        self.payload_bytes += len(data)
         writer.write(data)
         await writer.drain()
 
-    def tell(self, *entries: bytes) -> float:
+    def send_changes(self, *entries: bytes) -> float:
         """Write a change to the gateway that watches, if one does; returns when."""
-        line = self.roster.changes(*entries) + b"\n"
+        line = self.backend_list.encode_changes(*entries) + b"\n"
         data = b"%x\r\n%b\r\n" % (len(line), line)
         at = time.monotonic()
         if self._writer is not None:
-            self.bytes += len(data)
+            self.payload_bytes += len(data)
             self._writer.write(data)
         return at
 
-    async def watched_anew(self, within_s: float) -> bool:
+    async def restart_watch(self, within_s: float) -> bool:
         """End the watch, and wait for the gateway to be back: it is once it has done all that came before."""
         async with self._writing:
             writer, self._writer = self._writer, None
@@ -170,9 +173,9 @@
                 self._opened.clear()
                 writer.write(b"0\r\n\r\n")
                 writer.close()
-        return await self.opened(within_s)
+        return await self.wait_for_watch(within_s)
 
-    async def opened(self, within_s: float) -> bool:
+    async def wait_for_watch(self, within_s: float) -> bool:
         try:
             await asyncio.wait_for(self._opened.wait(), within_s)
         except TimeoutError:
@@ -196,19 +199,19 @@
     def data_received(self, data: bytes) -> None:
         *lines, self._rest = (self._rest + data).split(b"\r\n")
         answers = b"".join(self._counter.answer(line) for line in lines)
-        self._counter.bytes += len(data) + len(answers)
+        self._counter.payload_bytes += len(data) + len(answers)
         self._transport.write(answers)
 
 
 class Counter:
     def __init__(self) -> None:
-        self.calls, self.bytes, self.port = 0, 0, 0  # calls; bytes of payload, both ways
+        self.calls, self.payload_bytes, self.port = 0, 0, 0  # calls; bytes of payload, both ways
         self.transports: set[asyncio.Transport] = set()
         self._totals: dict[bytes, float] = {}
         self._server: asyncio.Server | None = None
 
     async def start(self) -> Counter:
-        self._server = await asyncio.get_running_loop().create_server(lambda: Lines(self), HOST, 0)
+        self._server = await asyncio.get_running_loop().create_server(lambda: Lines(self), LOOPBACK_HOST, 0)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
 
@@ -237,16 +240,16 @@
         host = transport.get_extra_info("sockname")[0]
         self.number = int.from_bytes(socket.inet_aton(host)) - FIRST_HOST
         self._backends.accepted += 1
-        self._backends.open.setdefault(self.number, set()).add(self)
+        self._backends.open_connections.setdefault(self.number, set()).add(self)
 
     def data_received(self, data: bytes) -> None:
         *whole, self._rest = (self._rest + data).split(b"\r\n\r\n")  # requests have no body
         if whole:
             self._backends.requests += len(whole)
-            counts = self._backends.counts
+            counts = self._backends.request_counts
             counts[self.number] = counts.get(self.number, 0) + len(whole)
-            self._backends.reached[self.number] = time.monotonic()
-            self._backends.latest = self.number
+            self._backends.reached_at[self.number] = time.monotonic()
+            self._backends.last_reached = self.number
             answer = ANSWER * len(whole)
             if self._backends.work_s:
                 asyncio.get_running_loop().call_later(self._backends.work_s, self.transport.write, answer)
@@ -255,12 +258,12 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         at = self._backends
-        at.ended[self.number] = time.monotonic()
-        at.open[self.number].discard(self)
-        if not at.open[self.number]:
-            del at.open[self.number]
-            if at.on_empty is not None:
-                at.on_empty(self.number)
+        at.closed_at[self.number] = time.monotonic()
+        at.open_connections[self.number].discard(self)
+        if not at.open_connections[self.number]:
+            del at.open_connections[self.number]
+            if at.on_last_closed is not None:
+                at.on_last_closed(self.number)
 
 
 class Backends:
@@ -270,12 +273,12 @@
     def __init__(self, work_s: float = 0.0) -> None:
         self.work_s = work_s
         self.accepted, self.requests, self.port = 0, 0, 0
-        self.latest = -1  # the backend that a request reached last
-        self.counts: dict[int, int] = {}  # requests by backend
-        self.reached: dict[int, float] = {}  # when a request last reached a backend
-        self.ended: dict[int, float] = {}  # when a connection to it last ended
-        self.open: dict[int, set[Served]] = {}  # its connections
-        self.on_empty: Callable[[int], None] | None = None  # called when the last connection to one has ended
+        self.last_reached = -1  # the backend that a request reached last
+        self.request_counts: dict[int, int] = {}  # requests by backend
+        self.reached_at: dict[int, float] = {}  # when a request last reached a backend
+        self.closed_at: dict[int, float] = {}  # when a connection to it last ended
+        self.open_connections: dict[int, set[Served]] = {}  # its connections
+        self.on_last_closed: Callable[[int], None] | None = None  # called with its number
         self._server: asyncio.Server | None = None
 
     async def start(self) -> Backends:
@@ -290,6 +293,6 @@
 
     def close(self) -> None:
         self._server.close()
-        for connections in list(self.open.values()):
+        for connections in list(self.open_connections.values()):
             for connection in list(connections):
                 connection.transport.abort()
--- a/scale/world.py
+++ b/scale/world.py
@@ -12,7 +12,7 @@
 
 from . import backends as limits
 from .backends import Backend, Health
-from .clients import KINDS, MEAN_WORK_MS, MOST_UNITS, Clients, day_plans, table_plan
+from .clients import MAX_UNITS, MEAN_WORK_MS, REQUEST_KINDS, Clients, calm_plans, table_plan
 from .clock import Clock
 from .counter import Counter
 from .discovery import Discovery
@@ -20,12 +20,12 @@
 from .hollow import HollowGateway
 from .links import Links
 from .oracle import Account
-from .record import Record, Second, figures
+from .record import Record, Second, compute_figures
 
-BEGIN_MS = 1_000_000.0  # the clock when a play begins; any value but 0, which means long ago in a list
-END_MS = 6000.0  # after the last arrival, until the last deadline has passed
+START_MS = 1_000_000.0  # the clock when a play begins; any value but 0, which means long ago in a list
+SETTLE_MS = 6000.0  # after the last arrival, until the last deadline has passed
 COUNTER_WAIT_MS = 50.0
-GC_OBJECTS = 200_000  # allocations between two collections: a play makes few cycles and much that lasts
+GC_THRESHOLD = 200_000  # allocations between two collections: a play makes few cycles and much that lasts
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,13 +64,13 @@
 
     def __init__(self, options: Options, module=None):
         o = self.options = options
-        self.begin = BEGIN_MS
-        self.clock, self.record = Clock(BEGIN_MS), Record()
+        self.start_ms = START_MS
+        self.clock, self.record = Clock(START_MS), Record()
         draw, self.rng = np.random.default_rng(o.seed), Random(o.seed)
         self.links = Links(o.zones, o.regions)
         zones = self.links.zones
         self.accounts: dict[int, Account] = {}
-        self.order = 0  # attempts so far
+        self.attempts_started = 0  # attempts so far
         self._module = {} if module is None else {"module": module}
         self.backends: dict[str, Backend] = {}
         for number in range(o.backends):
@@ -84,64 +84,66 @@
             COUNTER_WAIT_MS,
         )
         self.discovery = Discovery(self.clock, self.links, zones[0], Random(o.seed + 1))
-        self.discovery.start(map(self.entry, self.backends.values()))
+        self.discovery.start(map(self.backend_entry, self.backends.values()))
         if o.mix == "table":
             tariffs = table_plan()
         else:
-            tariffs = day_plans(draw)
+            tariffs = calm_plans(draw)
         self.gateways: list[HollowGateway] = []
         self.clients = Clients(self, tariffs, draw, Random(o.seed + 2))
         for number in range(o.gateways):
-            self.gateways.append(self._gateway(number))
+            self.gateways.append(self._create_gateway(number))
         if o.warm_up:
-            self.clock.at(BEGIN_MS + o.warm_up * 1000.0, self._begin_record)
-        self._set_faults()
+            self.clock.call_at(START_MS + o.warm_up * 1000.0, self._begin_record)
+        self._schedule_faults()
 
-    def _set_faults(self) -> None:
+    def _schedule_faults(self) -> None:
         o = self.options
         for fault in o.faults:
-            self.clock.at(BEGIN_MS + o.fault_at * 1000.0, FAULTS[fault].call, self, o.fault_for * 1000.0)
+            self.clock.call_at(
+                START_MS + o.fault_at * 1000.0, FAULTS[fault].inject, self, o.fault_for * 1000.0
+            )
 
     # Parties.
 
     def add_backend(self, number: int, zone: str) -> Backend:
         name = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:7070"
-        speed = self.rng.uniform(*limits.SPEED)
+        speed = self.rng.uniform(*limits.SPEED_RANGE)
         backend = Backend(self.clock, name, zone, self.options.cores, speed, MEAN_WORK_MS)
         self.backends[name] = backend
         return backend
 
-    def entry(self, backend: Backend, state: io.BackendState = io.BackendState.UP) -> io.Backend:
+    def backend_entry(self, backend: Backend, state: io.BackendState = io.BackendState.UP) -> io.Backend:
         """As the list has it."""
-        return io.Backend(backend.name, backend.zone, "std-3c", state=state, started_ms=backend.started)
+        return io.Backend(backend.name, backend.zone, "std-3c", state=state, started_ms=backend.start_time_ms)
 
-    def _gateway(self, number: int) -> HollowGateway:
+    def _create_gateway(self, number: int) -> HollowGateway:
         zone = self.links.zones[number % self.options.zones]
         found = HollowGateway(
-            self, number, zone, self.settings(number, zone), self.rng.getrandbits(48), **self._module
+            self, number, zone, self.gateway_settings(number, zone), self.rng.getrandbits(48), **self._module
         )
-        self.discovery.join(found)
+        self.discovery.subscribe(found)
         return found
 
-    def settings(self, number: int, zone: str) -> io.Settings:
+    def gateway_settings(self, number: int, zone: str) -> io.Settings:
         """What that gateway is told at its start."""
         return io.Settings(
             node_id=number,
             gateways=self.options.fleet or self.options.gateways,
             zone=zone,
             tick_ms=4.0,
-            classes={kind.io_class.name: kind.io_class for kind in KINDS},
+            classes={kind.request_class.name: kind.request_class for kind in REQUEST_KINDS},
             plans=self.clients.plans,
             counter=True,
             counter_timeout_ms=COUNTER_WAIT_MS,
             counter_price=0.02,
-            max_units=float(MOST_UNITS),
+            max_units=float(MAX_UNITS),
             may_cancel=True,
             may_probe=True,
             may_advise=True,
             most_retry_after_ms=500.0,
             most_attempts=6,
-            connect_timeout_ms=limits.CONNECT_MS,
+            connect_timeout_ms=limits.CONNECT_TIMEOUT_MS,
             answer_slack_ms=16.0,
             drain_grace_ms=2000.0,
             cold_from=limits.COLD_FROM,
@@ -157,18 +159,18 @@
 
     def _begin_record(self) -> None:
         self.record = Record(broken=self.record.broken)
-        self.counter.begin_record()
+        self.counter.reset_counts()
         for backend in self.backends.values():
             backend.busy_ms = 0.0
 
-    def second(self, at_ms: float) -> Second:
+    def second_at(self, at_ms: float) -> Second:
         """The second of the play that this time lies in."""
-        number, seconds = int((at_ms - BEGIN_MS) / 1000.0), self.record.seconds
+        number, seconds = int((at_ms - START_MS) / 1000.0), self.record.seconds
         while len(seconds) <= number:
             seconds.append(Second())
         return seconds[number]
 
-    def account(self, customer: int, plan: io.Plan) -> Account:
+    def account_of(self, customer: int, plan: io.Plan) -> Account:
         found = self.accounts.get(customer)
         if found is None:
             found = self.accounts[customer] = Account(plan, self.clock.now)
@@ -176,32 +178,32 @@
 
     # What may happen to them.
 
-    def stop(self, backend: Backend, health: Health) -> None:
+    def stop_backend(self, backend: Backend, health: Health) -> None:
         """It dies or falls silent, and what it holds is told or not."""
         for attempt in backend.stop(health):
-            self.gateways[attempt.trying.gateway].stopped(attempt, health)
+            self.gateways[attempt.client_try.gateway].on_backend_stopped(attempt, health)
 
-    def kill(self, number: int) -> None:
+    def kill_gateway(self, number: int) -> None:
         gateway = self.gateways[number]
-        self.discovery.leave(gateway)
+        self.discovery.unsubscribe(gateway)
         gateway.kill()
 
-    def restart(self, number: int) -> None:
+    def restart_gateway(self, number: int) -> None:
         """A new life under the same number, which knows nothing."""
-        self.gateways[number] = self._gateway(number)
+        self.gateways[number] = self._create_gateway(number)
 
     def play(self) -> dict:
-        """Let the day pass; its figures (`record.figures`)."""
+        """Let the day pass; its figures (`record.compute_figures`)."""
         before = gc.get_threshold()
-        gc.set_threshold(GC_OBJECTS, 20, 100)
+        gc.set_threshold(GC_THRESHOLD, 20, 100)
         try:
-            self.clock.run(BEGIN_MS + self.options.seconds * 1000.0 + END_MS)
+            self.clock.run_until(START_MS + self.options.seconds * 1000.0 + SETTLE_MS)
         finally:
             gc.set_threshold(*before)
         late = sum(gateway.unanswered() for gateway in self.gateways)
         if late:
             self.record.broken["never answered"] += late
-        return figures(self)
+        return compute_figures(self)
 
 
 def play(options: Options) -> dict:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -118,7 +118,7 @@
 
     def __init__(self, repeat=io.Idempotency.SAFE):
         super().__init__()
-        self.one = SentRequest("a", SimpleNamespace(deadline=1000.0), b"GET /\n", repeat, 0, 1, 0.0)
+        self.one = SentRequest("a", SimpleNamespace(deadline_ms=1000.0), b"GET /\n", repeat, 0, 1, 0.0)
         self.record_request(self.one)
 
     def tried(self, at, send_closed_at=float("inf"), text=b"GET /\n", name="a", backend="b"):
--- a/tests/test_emulator_network.py
+++ b/tests/test_emulator_network.py
@@ -54,7 +54,7 @@
         return end
 
     def run(self, for_ms=1000.0):
-        self.clock.run(self.clock.now + for_ms)
+        self.clock.run_until(self.clock.now + for_ms)
 
 
 def test_bytes_come_whole_and_in_order_and_are_cut_now_and_then():
@@ -145,7 +145,7 @@
     p = Pair()
     end = p.connect()
     p.run()
-    p.links.part(["r1z1"])
+    p.links.partition(["r1z1"])
     end.stream.send(b"held")
     p.connect()
     p.run(500.0)
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -82,10 +82,10 @@
 
 def test_the_same_file_gives_the_same_results_whatever_the_processes(tmp_path):
     one, two = kept(tmp_path / "one", TINY, processes=1), kept(tmp_path / "two", TINY, processes=2)
-    for name in (results.RECORDS, results.STATE, results.PAGE, results.FILE):
+    for name in (results.RECORDS_FILE, results.STATE_FILE, results.PAGE_FILE, results.EXPERIMENT_FILE):
         assert (one / name).read_bytes() == (two / name).read_bytes()
     found = results.read(one)
-    assert [results.key(record) for record in found.records] == [
+    assert [results.record_key(record) for record in found.records] == [
         (point, faulted, seed)
         for point in ("load=0.3", "load=0.6")
         for seed in (1, 2)
@@ -96,7 +96,7 @@
         assert set(plans) <= {"basico", "estandar", "ampliado"} and max(plans.values()) <= 1.0
         assert sum(record["seconds"]["tries"]) == record["figures"]["tries"]
         assert (record["figures"]["lost"] > 0) <= record["faulted"]  # without faults nothing is lost
-    page = (one / results.PAGE).read_text()
+    page = (one / results.PAGE_FILE).read_text()
     assert "tiny &lt;day&gt;" in page and "<script" not in page and "://" not in page
 
 
@@ -126,7 +126,7 @@
     found = results.read(out)
     assert found.state["partial"] and found.state["failed"] == []
     assert 1 <= len(found.records) == found.state["ended"] < 1600
-    assert "Partial: " in (out / results.PAGE).read_text()
+    assert "Partial: " in (out / results.PAGE_FILE).read_text()
 
 
 def test_compare_finds_a_difference_that_was_put_in_and_none_between_equal_ones(tmp_path):
@@ -165,12 +165,12 @@
 
 def test_a_torn_last_line_is_left_out_only_of_a_partial_result(tmp_path):
     out = kept(tmp_path / "out", TINY)
-    whole = (out / results.RECORDS).read_text()
-    (out / results.RECORDS).write_text(whole[:-50])
-    with pytest.raises(plan.Wrong, match="records.jsonl"):
+    whole = (out / results.RECORDS_FILE).read_text()
+    (out / results.RECORDS_FILE).write_text(whole[:-50])
+    with pytest.raises(plan.InvalidInput, match="records.jsonl"):
         results.read(out)
-    state = json.loads((out / results.STATE).read_text())
-    (out / results.STATE).write_text(json.dumps({**state, "partial": True}))
+    state = json.loads((out / results.STATE_FILE).read_text())
+    (out / results.STATE_FILE).write_text(json.dumps({**state, "partial": True}))
     assert len(results.read(out).records) == len(whole.splitlines()) - 1
 
 
@@ -183,14 +183,14 @@
         ]
 
     def verdicts(by: float, seeds: int) -> list[set[str]]:
-        found = noise.paired(records(0.0, seeds), records(by, seeds), ["x", "flat"])
-        assert [at.point for at in found[0].differences] == ["a", "b", "c", "d", noise.ALL]
+        found = noise.compare_records(records(0.0, seeds), records(by, seeds), ["x", "flat"])
+        assert [at.point for at in found[0].differences] == ["a", "b", "c", "d", noise.ALL_POINTS]
         return [{at.verdict for at in figure.differences} for figure in found]
 
     assert verdicts(1.0, 7) == [{"higher"}, {"equal"}] and verdicts(-1.0, 7) == [{"lower"}, {"equal"}]
     assert verdicts(1.0, 3) == [{"too few seeds"}, {"equal"}]
     assert noise.sign_test([1, 1, 1, 1, 1, -1, 0]) == pytest.approx(14 / 64)
-    assert noise.holm([0.01, 0.04, 0.03]) == pytest.approx([0.03, 0.06, 0.06])
+    assert noise.holm_correction([0.01, 0.04, 0.03]) == pytest.approx([0.03, 0.06, 0.06])
 
 
 QUESTIONS = sorted((ROOT / "experiments" / "questions").glob("*.toml"))
--- a/tests/test_scale_command.py
+++ b/tests/test_scale_command.py
@@ -5,18 +5,18 @@
 import pytest
 from click.testing import CliRunner
 
-from scale import plays
+from scale import measurements
 from scale.__main__ import main
 
 
 def test_the_short_form_prints_every_figure_of_the_hollow_tier(tmp_path):
-    names = [series.name for series in plays.SERIES]
+    names = [series.name for series in measurements.SERIES]
     only = [part for name in names for part in ("--only", name)]
     file = tmp_path / "figures.json"
     found = CliRunner().invoke(main, ["figures", "--short", "--processes", "2", "--json", str(file), *only])
     assert found.exit_code == 0, found.output
     kept = json.loads(file.read_text())
-    assert len(kept) == sum(len(series.values) for series in plays.SERIES)
+    assert len(kept) == sum(len(series.values) for series in measurements.SERIES)
     for figure in kept:
         assert len(figure["points"]) >= 4 and figure["name"] in found.stdout
         assert figure["command"].startswith("python -m scale figures --only ")
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -37,26 +37,32 @@
 
 def test_a_try_is_inside_the_quota_while_the_store_holds_its_units():
     account = Account(io.Plan("p", rate=2.0, burst=6.0), 0.0)
-    assert [account.sent(0.0, 4.0), account.sent(0.0, 3.0), account.sent(0.0, 2.0)] == [True, False, True]
-    assert not account.sent(499.0, 1.0) and account.sent(500.0, 1.0)  # what was beyond has taken nothing
-    assert account.room(2000.0, 3.0) == (True, False) and account.room(2000.0, 3.1) == (False, False)
-    assert account.room(60000.0, 3.0) == (True, True)  # never more than the burst
-    assert account.room(60000.0, 3.1) == (True, False)
+    assert [account.take_quota(0.0, 4.0), account.take_quota(0.0, 3.0), account.take_quota(0.0, 2.0)] == [
+        True,
+        False,
+        True,
+    ]
+    assert not account.take_quota(499.0, 1.0) and account.take_quota(
+        500.0, 1.0
+    )  # what was beyond has taken nothing
+    assert account.headroom(2000.0, 3.0) == (True, False) and account.headroom(2000.0, 3.1) == (False, False)
+    assert account.headroom(60000.0, 3.0) == (True, True)  # never more than the burst
+    assert account.headroom(60000.0, 3.1) == (True, False)
 
 
 def test_a_try_is_beyond_the_quota_with_as_many_attempts_out_as_the_plan_allows():
     account = Account(io.Plan("p", rate=2.0, burst=6.0, max_concurrency=2), 0.0)
-    account.out = 2
-    assert not account.sent(0.0, 1.0) and account.room(0.0, 1.0) == (False, False)
-    account.out = 1
-    assert account.room(0.0, 1.0) == (True, True) and account.sent(0.0, 6.0)
+    account.in_flight = 2
+    assert not account.take_quota(0.0, 1.0) and account.headroom(0.0, 1.0) == (False, False)
+    account.in_flight = 1
+    assert account.headroom(0.0, 1.0) == (True, True) and account.take_quota(0.0, 6.0)
 
 
 def test_each_first_try_draws_on_the_ceiling_whether_it_is_inside_the_quota_or_not():
     plan = io.Plan("p", rate=1.0, burst=4.0, ceiling_rate=2.0, ceiling_burst=8.0, ceiling_tolerance=3.0)
     account = Account(plan, 0.0)
-    assert [account.over_ceiling(0.0, units) for units in (8.0, 3.0, 1.0)] == [False, False, True]
-    assert not account.over_ceiling(1000.0, 1.0)
+    assert [account.exceeds_ceiling(0.0, units) for units in (8.0, 3.0, 1.0)] == [False, False, True]
+    assert not account.exceeds_ceiling(1000.0, 1.0)
 
 
 class Twice(Gateway):
--- a/tests/test_scale_real.py
+++ b/tests/test_scale_real.py
@@ -6,7 +6,7 @@
 
 from scale import real
 from scale.client import Client
-from scale.standins import Agent, Roster
+from scale.standins import BackendList, DiscoveryAgent
 
 
 def stands_still(ms):
@@ -22,7 +22,7 @@
 
 def test_the_short_form_gives_every_figure_at_each_size():
     notes = []
-    found = {figure.name: figure for figure in real.figures(True, notes.append)}
+    found = {figure.name: figure for figure in real.measure_figures(True, notes.append)}
     assert notes and len(found) == 40
     for name, figure in found.items():
         sizes = real.SHORT.customers if figure.size_of == "customers" else real.SHORT.sizes
@@ -39,10 +39,10 @@
     """`scene` is played with stand-ins, their agent, and a gateway that is ready."""
 
     async def play():
-        async with asyncio.timeout(60), real.Site() as site:
-            agent = await Agent(Roster(100, site.backends.port)).start()
-            async with site.gateway(agent, agent.roster.whole(), **how) as program:
-                await program.ready(real.LIMIT_S)
+        async with asyncio.timeout(60), real.Testbed() as site:
+            agent = await DiscoveryAgent(BackendList(100, site.backends.port)).start()
+            async with site.gateway(agent, agent.backend_list.full_list(), **how) as program:
+                await program.wait_until_ready(real.WAIT_LIMIT_S)
                 await scene(site, agent, program)
             agent.close()
 
@@ -55,15 +55,17 @@
     async def scene(site, agent, program):
         client = Client(program.address)
         start = real.time.monotonic()
-        await client.scheduled(real.REQUESTS_PER_S, 0.5)
+        await client.run_open_loop(real.REQUESTS_PER_S, 0.5)
         quiet = real.time.monotonic()
         assert program.longest_step_ms(start, quiet) < still_ms / 2
-        flow = asyncio.create_task(real.Changes(site, [agent], agent.roster).flow(0.01))  # two: it comes back
-        answers = await client.scheduled(real.REQUESTS_PER_S, 1.0)
+        flow = asyncio.create_task(
+            real.ChangeFeed(site, [agent], agent.backend_list).run(0.01)
+        )  # two: it comes back
+        answers = await client.run_open_loop(real.REQUESTS_PER_S, 1.0)
         await flow
         client.close()
         assert program.longest_step_ms(quiet, real.time.monotonic()) > 0.9 * still_ms
-        added = sorted(answers.took_ms)
+        added = sorted(answers.latencies_ms)
         assert added[-1] > 0.8 * still_ms
         # All that were due meanwhile waited, not only the one that was out: twice seven or so.
         assert sum(ms > 0.2 * still_ms for ms in added) >= 8
@@ -76,28 +78,28 @@
     still_ms = 20.0
 
     async def scene(site, agent, program):
-        client, changes = Client(program.address), real.Changes(site, [agent], agent.roster)
-        flow = asyncio.create_task(changes.flow(1.0))
-        await client.scheduled(real.REQUESTS_PER_S, 1.0)
+        client, changes = Client(program.address), real.ChangeFeed(site, [agent], agent.backend_list)
+        flow = asyncio.create_task(changes.run(1.0))
+        await client.run_open_loop(real.REQUESTS_PER_S, 1.0)
         await flow
         client.close()
-        assert changes.in_force_ms and min(changes.in_force_ms) >= still_ms and not changes.never
+        assert changes.propagation_ms and min(changes.propagation_ms) >= still_ms and not changes.timeouts
 
     with_gateway(scene, patch=stands_still(still_ms))
 
 
 def test_a_list_that_is_refused_is_told_as_refused():
     async def scene(site, agent, program):
-        agent.roster.prepare(1)
-        assert await real.lists([agent], agent.roster, 1, real.LIMIT_S) == (1, False)
+        agent.backend_list.prepare_lists(1)
+        assert await real.send_full_lists([agent], agent.backend_list, 1, real.WAIT_LIMIT_S) == (1, False)
 
     with_gateway(scene, patch="from elderhub import lists\nlists.MAX_ENTRIES = 10\n")
 
 
 def test_lists_that_are_taken_are_told_as_taken():
     async def scene(site, agent, program):
-        agent.roster.prepare(2)
-        assert await real.lists([agent], agent.roster, 2, real.LIMIT_S) == (2, True)
-        assert agent.after == agent.roster.generation
+        agent.backend_list.prepare_lists(2)
+        assert await real.send_full_lists([agent], agent.backend_list, 2, real.WAIT_LIMIT_S) == (2, True)
+        assert agent.resume_version == agent.backend_list.generation
 
     with_gateway(scene)
