--- a/emulator/front.py
+++ b/emulator/front.py
@@ -118,7 +118,7 @@
 
     # Requests.
 
-    def take(self, t: Try, event: io.RequestArrived) -> None:
+    def handle_request(self, t: Try, event: io.RequestArrived) -> None:
         """A client has a request. With too many connections open, it waits until one is free."""
         if self.idle or self._open < self._most:
             self._begin(t, event)
--- a/emulator/gateway.py
+++ b/emulator/gateway.py
@@ -142,8 +142,8 @@
 
     # Requests.
 
-    def take(self, t: Try, event: io.RequestArrived) -> bool:
-        self._front.take(t, event)
+    def handle_request(self, t: Try, event: io.RequestArrived) -> bool:
+        self._front.handle_request(t, event)
         return True
 
     def leave(self, t: Try) -> None:
--- a/scale/clients.py
+++ b/scale/clients.py
@@ -285,7 +285,7 @@
             self._first[t.customer],
             self._spread[t.customer],
         )
-        if not w.gateways[gateway].take(t, event):
+        if not w.gateways[gateway].handle_request(t, event):
             self.handle_outcome(t, "unreachable")
 
     def _front(self, customer: int, gateway: int) -> int:
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -72,7 +72,7 @@
         for action in self._module.handle(self.world.clock.now, event):
             self._do[type(action)](action)
 
-    def take(self, t: Try, event: io.RequestArrived) -> bool:
+    def handle_request(self, t: Try, event: io.RequestArrived) -> bool:
         """A request has come; False where the gateway does not run."""
         if self.dead:
             return False
