--- a/emulator/front.py
+++ b/emulator/front.py
@@ -177,7 +177,7 @@
             caller = Caller(self, asked, text)
         self._callers[asked.name] = caller
 
-    def leave(self, t: Try) -> None:
+    def client_disconnected(self, t: Try) -> None:
         """Its client goes: its connection closes."""
         asked = self._world.checks.asked.get(f"{int(t.request[1:]):016x}")
         t.done = True
--- a/emulator/gateway.py
+++ b/emulator/gateway.py
@@ -146,8 +146,8 @@
         self._front.handle_request(t, event)
         return True
 
-    def leave(self, t: Try) -> None:
-        self._front.leave(t)
+    def client_disconnected(self, t: Try) -> None:
+        self._front.client_disconnected(t)
 
     @property
     def front(self) -> Front:
--- a/emulator/world.py
+++ b/emulator/world.py
@@ -230,7 +230,9 @@
             r.beyond_quota_cost += t.worth * account.plan.overrun_cost
         if self.leavers and self._rng_leavers.random() < self.leavers:
             self.clock.call_at(
-                now + self._rng_leavers.uniform(0.0, LEAVE_MS), self.whole[asked.gateway].leave, t
+                now + self._rng_leavers.uniform(0.0, LEAVE_MS),
+                self.whole[asked.gateway].client_disconnected,
+                t,
             )
 
     def answered(self, asked: SentRequest, how: str, after_ms: float) -> None:
--- a/scale/clients.py
+++ b/scale/clients.py
@@ -300,7 +300,7 @@
 
     def _go_away(self, t: Try) -> None:
         if not t.done:
-            self._world.gateways[t.gateway].leave(t)
+            self._world.gateways[t.gateway].client_disconnected(t)
             self._world.record.abandoned += 1
 
     def handle_outcome(self, t: Try, how: str, retry_after_ms: float = 0.0) -> None:
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -80,7 +80,7 @@
         self.put(event)
         return True
 
-    def leave(self, t: Try) -> None:
+    def client_disconnected(self, t: Try) -> None:
         """The client has gone."""
         if self._open.pop(t.request, None) is not None:
             t.done = True
