--- a/emulator/agent.py
+++ b/emulator/agent.py
@@ -99,7 +99,7 @@
                     watch.chunk(b"\n")
         self._world.clock.call_at(self._world.clock.now + HEARTBEAT_MS, self._beat)
 
-    def listed(self, event: io.BackendsChanged) -> None:
+    def backends_changed(self, event: io.BackendsChanged) -> None:
         """Discovery has told it a list. While that is down, it learns nothing."""
         if self._down or self._on_the_way:
             self._on_the_way.append(event)
--- a/scale/discovery.py
+++ b/scale/discovery.py
@@ -32,7 +32,7 @@
     def subscribe(self, gateway) -> None:
         """A gateway has started: the list as it last had it comes at once, what it missed soon after."""
         entries = tuple(self.entries.values())
-        gateway.listed(io.BackendsChanged(io.ListKind.CACHED, self.version, entries))
+        gateway.backends_changed(io.BackendsChanged(io.ListKind.CACHED, self.version, entries))
         self._told[gateway] = self.version
         self._due[gateway] = 0.0
 
@@ -75,4 +75,4 @@
     def _tell(self, gateway, event: io.BackendsChanged) -> None:
         if gateway in self._told and event.version >= self._told[gateway]:
             self._told[gateway] = event.version
-            gateway.listed(event)
+            gateway.backends_changed(event)
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -86,7 +86,7 @@
             t.done = True
             self.put(io.ClientDisconnected(t.request))
 
-    def listed(self, event: io.BackendsChanged) -> None:
+    def backends_changed(self, event: io.BackendsChanged) -> None:
         now = self.world.clock.now
         named = {entry.id for entry in event.backends}
         if event.kind is not io.ListKind.DELTA:
--- a/tests/test_scale_standins.py
+++ b/tests/test_scale_standins.py
@@ -54,7 +54,7 @@
         def __init__(self):
             self.got = []
 
-        def listed(self, event):
+        def backends_changed(self, event):
             self.got.append((event.kind, event.version, len(event.backends)))
 
     clock, links, gateway = Clock(0.0), Links(2, 2), Gateway()
