--- a/emulator/gateway.py
+++ b/emulator/gateway.py
@@ -36,7 +36,7 @@
         self._front = Front(world, self, self.address)
         self.life = 0
         self.running = self.is_ready = False
-        self.died = float("inf")  # when; infinite while the front has it
+        self.died_at = float("inf")  # when; infinite while the front has it
         self._term_at = float("inf")  # when it was told to end
         self._killed = False
         self._machine: ProgramMachine | None = None
@@ -95,15 +95,15 @@
 
     def ready(self, life: int, took_ms: float) -> None:
         if life == self.life and not self.is_ready:
-            self.is_ready, self.died = True, float("inf")
+            self.is_ready, self.died_at = True, float("inf")
             self._world.starts.append(took_ms)
 
     def _end(self, life: int, reset: bool) -> None:
         if life != self.life or not self.running:
             return
         self.running = self.is_ready = False
-        if self.died == float("inf"):
-            self.died = self._world.clock.now
+        if self.died_at == float("inf"):
+            self.died_at = self._world.clock.now
         self._most_files = self.most_descriptors()
         self._machine.die(reset)
         self.host = None
@@ -131,7 +131,7 @@
 
     def _noticed(self, life: int) -> None:
         if life == self.life:
-            self.died = min(self.died, self._world.clock.now)
+            self.died_at = min(self.died_at, self._world.clock.now)
 
     def killed(self) -> bool:
         """It does not run, and was given no time to end, or less than it is owed."""
--- a/scale/clients.py
+++ b/scale/clients.py
@@ -294,7 +294,7 @@
         first, spread, count = self._first[customer], self._spread[customer], w.options.gateways
         for turn in range(spread):
             found = (first + (gateway - first + turn) % count % spread) % count
-            if w.gateways[found].died > w.clock.now - NOTICE_MS:
+            if w.gateways[found].died_at > w.clock.now - NOTICE_MS:
                 return found
         return gateway
 
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -38,7 +38,7 @@
     def __init__(self, world, number: int, zone: str, settings: io.Settings, seed: int, module=Gateway):
         self.world, self.number, self.zone = world, number, zone
         self.settings, self.dead = settings, False
-        self.died = math.inf  # when
+        self.died_at = math.inf  # when
         self._module = module(settings, seed)
         self._open: dict[str, Try] = {}
         self._pools: dict[str, Pool] = {}
@@ -349,7 +349,7 @@
     def kill(self) -> None:
         """The process dies: its connections are reset, and its requests lost, unless clients come again."""
         now = self.world.clock.now
-        self.dead, self.died = True, now
+        self.dead, self.died_at = True, now
         for attempt in list(self._attempts.values()):
             self._ended(attempt, io.Outcome.RESET)
         for pool in self._pools.values():
