--- a/emulator/checks.py
+++ b/emulator/checks.py
@@ -43,7 +43,7 @@
     """One request of a client. `lost`: its gateway died with it, which nobody is blamed for."""
 
     name: str
-    trying: Try
+    client_try: Try
     text: bytes  # method, target and body, as they are to reach a backend
     repeat: io.Idempotency
     gateway: int
@@ -90,7 +90,7 @@
             return asked.final
         asked.final = "served" if status == 200 else "refused" if status in (429, 503) else "failed"
         asked.final_at = sent_at
-        if now > asked.trying.deadline_ms + LATE_MS:
+        if now > asked.client_try.deadline_ms + LATE_MS:
             self.add_violation(now, "no final answer in time", asked.name)
         if status == 200 and body not in asked.bodies:
             self.add_violation(now, "served with what no backend made for it", asked.name)
--- a/emulator/servers.py
+++ b/emulator/servers.py
@@ -97,13 +97,13 @@
             self._attempt_over()
             self.stream.abort()
         elif self._attempt is not None:  # out until the gateway gives it up, which nobody here hears
-            self._server.world.accounts[self._asked.trying.customer].in_flight -= 1
+            self._server.world.accounts[self._asked.client_try.customer].in_flight -= 1
             self._attempt = None
 
     def _attempt_over(self) -> None:
         if self._attempt is not None:
             self._attempt.ended_at = self._server.world.clock.now
-            self._server.world.accounts[self._asked.trying.customer].in_flight -= 1
+            self._server.world.accounts[self._asked.client_try.customer].in_flight -= 1
             self._attempt = None
 
     def _over(self, reset: bool) -> None:
@@ -142,10 +142,10 @@
             return
         asked, self._attempt = self._asked, _ = found
         told = world.told_start(peer.machine.name, server.backend)
-        if server.backend.record_attempt(asked.trying.work_ms, told):
+        if server.backend.record_attempt(asked.client_try.work_ms, told):
             world.fell(server.backend)
             return
-        done = server.backend.serve(asked.trying.work_ms)
+        done = server.backend.serve(asked.client_try.work_ms)
         if done is None:
             self._attempt.ran = False
             world.outcomes["full"] += 1
--- a/emulator/world.py
+++ b/emulator/world.py
@@ -209,7 +209,7 @@
         if found is None:
             return None
         asked, attempt = found
-        t, account = asked.trying, self.accounts[asked.trying.customer]
+        t, account = asked.client_try, self.accounts[asked.client_try.customer]
         self.record.attempts += 1
         if len(asked.attempts) == 1:
             self._first_attempt(t, account, asked, attempt)
@@ -237,7 +237,7 @@
 
     def answered(self, asked: SentRequest, how: str, after_ms: float) -> None:
         """A client has its final answer."""
-        t, r = asked.trying, self.record
+        t, r = asked.client_try, self.record
         if how == "served":
             self.latency.record_value(max(1, int((self.clock.now - asked.sent_at) * 1000.0)))
         elif how == "failed":
@@ -251,8 +251,8 @@
         self.ended(asked, how, after_ms)
 
     def ended(self, asked: SentRequest, how: str, after_ms: float = 0.0) -> None:
-        asked.trying.done = True
-        self.clients.handle_outcome(asked.trying, how, after_ms)
+        asked.client_try.done = True
+        self.clients.handle_outcome(asked.client_try, how, after_ms)
 
     # The play.
 
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -26,8 +26,8 @@
 
     __slots__ = ("sequence", "client_try", "number", "backend", "pool", "life", "sent", "over", "lost")
 
-    def __init__(self, order: int, trying: Try, number: int, pool: Pool, sent: float):
-        self.sequence, self.client_try, self.number, self.sent = order, trying, number, sent
+    def __init__(self, order: int, client_try: Try, number: int, pool: Pool, sent: float):
+        self.sequence, self.client_try, self.number, self.sent = order, client_try, number, sent
         self.pool, self.backend, self.life = pool, pool.backend, -1  # -1: no connection yet
         self.over = self.lost = False
 
