--- a/emulator/agent.py
+++ b/emulator/agent.py
@@ -1,4 +1,4 @@
-"""Stand-in for discovery's agent on one gateway's machine: what it was told, and watches over HTTP."""
+"""Simulated discovery agent on one gateway's machine, which serves watches of its list over HTTP."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from cobaltline import interface as io
 from scale.links import SAME_ZONE_DELAY_MS
 
-from .checks import SILENT_MS
+from .checks import SILENT_WATCH_MS
 from .network import Machine, Stream
 
-HEARTBEAT_MS = 2000.0  # an empty line comes so often as long as nothing changes
-CHANGES_KEPT = 256  # versions that a watch can be resumed from; else it gets the whole list
-AFTER = re.compile(rb"[?&]after=(\d+)")
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+HEARTBEAT_MS = 2000.0  # interval of the empty lines that keep a watch alive
+MAX_CHANGES = 256  # how far back a watch can resume; an older one gets the full list
+AFTER_PARAMETER = re.compile(rb"[?&]after=(\d+)")
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 LIFECYCLES = {
     io.BackendState.UP: "Ready",
     io.BackendState.DRAINING: "Terminating",
@@ -22,7 +22,8 @@
 }
 
 
-def entry(backend: io.Backend) -> dict:
+def encode_backend(backend: io.Backend) -> dict:
+    """Encode a backend as an entry of a discovery list."""
     return {
         "instanceId": backend.id,
         "hostPort": backend.id,
@@ -36,151 +37,166 @@
 
 
 class Watch:
-    """One watch of a gateway's."""
+    """A watch that the gateway has opened. It is silent once `silent` is set."""
 
     def __init__(self, agent: Agent, sock):
-        self._agent, self.head = agent, b""
-        self.stream = Stream(sock, self._heard, self._over)
-        self.mute = self.begun = False
+        self._agent, self.request_head = agent, b""
+        self.stream = Stream(sock, self._data_received, self._closed)
+        self.silent = self.answered = False
 
-    def _heard(self, data: bytes) -> None:
-        if not self.begun:
-            self.head += data
-            if b"\r\n\r\n" in self.head:
-                self._agent.asked(self)
+    def _data_received(self, data: bytes) -> None:
+        if not self.answered:
+            self.request_head += data
+            if b"\r\n\r\n" in self.request_head:
+                self._agent.watch_requested(self)
 
-    def _over(self, reset: bool) -> None:
+    def _closed(self, reset: bool) -> None:
         self.stream.close()
-        self._agent.ended(self)
+        self._agent.watch_closed(self)
 
-    def line(self, generation: int, reset: bool, entries) -> None:
-        text = json.dumps(
-            {"generation": generation, "reset": reset, "instances": list(map(entry, entries))}
+    def send_list(self, generation: int, reset: bool, entries) -> None:
+        """Send a list as one line; `reset` marks a full list."""
+        body = json.dumps(
+            {"generation": generation, "reset": reset, "instances": list(map(encode_backend, entries))}
         ).encode()
-        self.chunk(text + b"\n")
+        self.send_chunk(body + b"\n")
 
-    def chunk(self, data: bytes) -> None:
+    def send_chunk(self, data: bytes) -> None:
+        """Send data as one chunk of the response's body."""
         self.stream.send(b"%x\r\n%b\r\n" % (len(data), data))
 
 
 class Agent:
-    """As `scale.discovery` sees a gateway: has a zone, and is told lists."""
+    """The discovery agent of one gateway.
+
+    It subscribes to `scale.discovery.Discovery` in the place of a gateway: it has a zone and receives lists.
+    """
 
     def __init__(self, world, number: int, zone: str):
         self._world, self.number, self.zone = world, number, zone
         self.address = (f"agent-{number}", 8500)
-        self.known: dict[str, io.Backend] = {}
+        self.backends: dict[str, io.Backend] = {}
         self.version = 0
         self._changes: list[tuple[int, tuple[io.Backend, ...]]] = []
         self._watches: dict[Watch, None] = {}
-        self._on_the_way: list[io.BackendsChanged] = []  # to it while it learned nothing
-        self._silent_since: float | None = None  # the open watches are, and no new one has come
+        self._pending_events: list[io.BackendsChanged] = []  # received while the agent was down
+        self._silent_since: float | None = (
+            None  # since when the open watches are silent, while no new one is answered
+        )
         machine = Machine(world.network, f"agent-{number}", zone)
         self._listener = machine.listen(self.address, 64, self._accept)
-        self._beat()
+        self._send_heartbeats()
 
     def _accept(self) -> None:
         Watch(self, self._listener.accept()[0])
 
     @property
-    def _down(self) -> bool:
-        """It learns nothing and says nothing."""
+    def _is_down(self) -> bool:
+        """Whether the agent neither receives lists nor answers."""
         w = self._world
         return w.discovery.is_down or not w.links.can_reach(self.zone, w.links.zones[0])
 
-    def _beat(self) -> None:
-        if not self._down:
-            late, self._on_the_way = self._on_the_way, []
-            for event in late:
-                self._learn(event)
-            self._answer_all()
+    def _send_heartbeats(self) -> None:
+        if not self._is_down:
+            pending, self._pending_events = self._pending_events, []
+            for event in pending:
+                self._apply_list(event)
+            self._answer_waiting()
             for watch in self._watches:
-                if watch.begun and not watch.mute:
-                    watch.chunk(b"\n")
-        self._world.clock.call_at(self._world.clock.now + HEARTBEAT_MS, self._beat)
+                if watch.answered and not watch.silent:
+                    watch.send_chunk(b"\n")
+        self._world.clock.call_at(self._world.clock.now + HEARTBEAT_MS, self._send_heartbeats)
 
     def backends_changed(self, event: io.BackendsChanged) -> None:
-        """Discovery has told it a list. While that is down, it learns nothing."""
-        if self._down or self._on_the_way:
-            self._on_the_way.append(event)
+        """Receive a list from discovery. While the agent is down, lists are kept for later."""
+        if self._is_down or self._pending_events:
+            self._pending_events.append(event)
         else:
-            self._learn(event)
+            self._apply_list(event)
+
+    def _apply_list(self, event: io.BackendsChanged) -> None:
+        """Apply a list, report its changes to the checks and send it to the watches.
 
-    def _learn(self, event: io.BackendsChanged) -> None:
-        """What a gateway's own agent has counts as told."""
+        The gateway counts as informed of a change once its own agent has it.
+        """
         now = self._world.clock.now
-        before = self.known
+        previous = self.backends
         if event.kind is io.ListKind.DELTA:
-            self.known = dict(before)
-            self._changes = [*self._changes[1 - CHANGES_KEPT :], (event.version, event.backends)]
+            self.backends = dict(previous)
+            self._changes = [*self._changes[1 - MAX_CHANGES :], (event.version, event.backends)]
         else:
-            self.known, self._changes = {}, []
+            self.backends, self._changes = {}, []
         for backend in event.backends:
-            self.known[backend.id] = backend
+            self.backends[backend.id] = backend
             if backend.state is io.BackendState.REMOVED:
-                del self.known[backend.id]
+                del self.backends[backend.id]
         self.version = event.version
-        counts_at = now if self._silent_since is None else max(now, self._silent_since + SILENT_MS)
+        known_at = now if self._silent_since is None else max(now, self._silent_since + SILENT_WATCH_MS)
         for backend in event.backends:
             self._world.checks.record_backend_change(
-                self.number, backend.id, backend.state is not io.BackendState.UP, counts_at
+                self.number, backend.id, backend.state is not io.BackendState.UP, known_at
             )
-        for name in before:
-            if name not in self.known:
-                self._world.checks.record_backend_change(self.number, name, True, counts_at)
-        self._answer_all()
+        for backend_id in previous:
+            if backend_id not in self.backends:
+                self._world.checks.record_backend_change(self.number, backend_id, True, known_at)
+        self._answer_waiting()
         for watch in self._watches:
-            if watch.begun and not watch.mute:
+            if watch.answered and not watch.silent:
                 if event.kind is io.ListKind.DELTA:
-                    watch.line(event.version, False, event.backends)
+                    watch.send_list(event.version, False, event.backends)
                 else:
-                    watch.line(event.version, True, self.known.values())
+                    watch.send_list(event.version, True, self.backends.values())
 
-    def asked(self, watch: Watch) -> None:
+    def watch_requested(self, watch: Watch) -> None:
+        """The head of a watch's request has arrived."""
         self._watches[watch] = None
-        self._answer_all()
+        self._answer_waiting()
 
-    def _answer_all(self) -> None:
-        """Watches that were opened while it was silent are answered once it is not."""
-        if self._down:
+    def _answer_waiting(self) -> None:
+        """Answer the new watches; those opened while the agent is down wait."""
+        if self._is_down:
             return
         for watch in self._watches:
-            if not watch.begun and not watch.mute:
-                watch.begun = True
-                self._begin(watch)
+            if not watch.answered and not watch.silent:
+                watch.answered = True
+                self._answer(watch)
 
-    def _begin(self, watch: Watch) -> None:
+    def _answer(self, watch: Watch) -> None:
         if self._silent_since is not None:
             self._silent_since = None
-            for backend in self.known.values():  # what was missed is told now, if it did not count before
+            for backend in (
+                self.backends.values()
+            ):  # changes that the silent watches missed count from now at the latest
                 if backend.state is not io.BackendState.UP:
                     self._world.checks.record_backend_change(
                         self.number, backend.id, True, self._world.clock.now + SAME_ZONE_DELAY_MS
                     )
-        watch.stream.send(HEAD)
-        named = AFTER.search(watch.head)
-        after = int(named[1]) if named else 0
+        watch.stream.send(RESPONSE_HEAD)
+        after_match = AFTER_PARAMETER.search(watch.request_head)
+        after = int(after_match[1]) if after_match else 0
         missed = [change for version, change in self._changes if version > after]
         oldest = self._changes[0][0] - 1 if self._changes else self.version
         if after and oldest <= after <= self.version:
             latest = {backend.id: backend for change in missed for backend in change}
-            watch.line(self.version, False, latest.values())
+            watch.send_list(self.version, False, latest.values())
         else:
-            watch.line(self.version, True, self.known.values())
+            watch.send_list(self.version, True, self.backends.values())
 
-    def ended(self, watch: Watch) -> None:
+    def watch_closed(self, watch: Watch) -> None:
+        """The gateway has closed a watch."""
         self._watches.pop(watch, None)
 
-    # What may happen to it.
+    # Faults.
 
-    def fall_silent(self) -> None:
-        """The open watches say nothing any more; new ones do."""
+    def silence_watches(self) -> None:
+        """Silence the open watches; new ones work."""
         if self._watches:
             self._silent_since = self._world.clock.now
         for watch in self._watches:
-            watch.mute = True
+            watch.silent = True
 
     def reset_watches(self) -> None:
+        """Reset the connections of all open watches."""
         for watch in list(self._watches):
             watch.stream.abort()
-            self.ended(watch)
+            self.watch_closed(watch)
--- a/emulator/checks.py
+++ b/emulator/checks.py
@@ -1,8 +1,8 @@
-"""The rules of the pages, held against what clients, backends and discovery saw.
+"""Checks the protocol's rules against what clients, backends and discovery observed.
 
-Knows nothing of the gateway. Times are ms of the shared clock. `SentRequest` is one request by its id: what
-its client sent and got, and what reached backends under that id. Rules that break are counted by name, and
-the first of each are kept with the id.
+The checks do not look into the gateway. All times are in ms on the virtual clock. `SentRequest` holds
+everything observed about one request id: what its client sent and received, and the attempts that reached
+backends. Violations are counted by rule, and the first few of each rule are kept as examples.
 """
 
 from __future__ import annotations
@@ -13,153 +13,177 @@
 from cobaltline import interface as io
 from scale.clients import Try
 
-SOCKETS_MS = 50.0  # the protocol page: on sockets every time limit is so much longer
-LATE_MS = 500.0  # an answer may come so long after its time, and then earns nothing; later it is lost
-LEFT_MS = 100.0  # an attempt that begins so long after its client left is begun for nobody
-SILENT_MS = 6000.0  # what a silent watch misses counts as told so long after it fell silent
-READY_MS = 6000.0  # a gateway that starts is ready by then
-UNREAD_SHARE = 200  # of the requests, one in so many may find its new connection closed with no answer
-CLOSED, TIME_UP = "its connection was ended", "its time is up"  # why there is no answer
-KEPT = 5  # examples of each broken rule
+SOCKET_TOLERANCE_MS = 50.0  # added to every time limit of the protocol where it is measured on sockets
+LATE_ANSWER_MS = (
+    500.0  # past a request's deadline an answer is worthless, and after this it counts as missing
+)
+ATTEMPT_AFTER_DISCONNECT_MS = 100.0  # no attempt may start later than this after the client disconnected
+SILENT_WATCH_MS = 6000.0  # a gateway has to notice within this time that its discovery watch is silent
+READY_TIMEOUT_MS = 6000.0  # a starting gateway has to be ready within this time
+REQUESTS_PER_UNREAD = 200  # one request in this many may have its new connection closed without an answer
+CONNECTION_ENDED, DEADLINE_PASSED = (
+    "its connection was ended",
+    "its time is up",
+)  # reasons for a missing answer
+MAX_EXAMPLES = 5  # examples kept of each broken rule
 
 
 @dataclass(slots=True)
 class Attempt:
-    """What one connection brought to a backend under this id, from the last byte on."""
+    """One attempt of a request, recorded when its last byte reaches the backend."""
 
     backend: str
-    sent_at: float  # its first byte left the gateway
-    began_at: float  # its last byte came
-    peer: object  # the gateway's end of the connection: `send_closed_at` tells when it stopped sending
-    ended_at: float = float("inf")  # answered, turned away, or the backend ended the connection
-    ran: bool = True  # or may have
-
-    def out(self, now: float) -> bool:
+    sent_at: float  # when its bytes last left the gateway
+    received_at: float  # when its last byte reached the backend
+    peer: object  # the gateway's socket, whose `send_closed_at` tells when it stopped sending
+    ended_at: float = float("inf")  # answered, rejected, or closed by the backend
+    may_have_run: bool = True  # False only where the backend rejected it
+
+    def in_flight(self, now: float) -> bool:
+        """Whether the attempt is unanswered and the gateway has not closed its connection."""
         return self.ended_at > now and self.peer.send_closed_at > now
 
 
 @dataclass(slots=True)
 class SentRequest:
-    """One request of a client. `lost`: its gateway died with it, which nobody is blamed for."""
+    """One request as its client sent it, and everything that clients and backends observed of it."""
 
     name: str
     client_try: Try
-    text: bytes  # method, target and body, as they are to reach a backend
-    repeat: io.Idempotency
+    content: bytes  # method, target and body that a backend has to receive
+    idempotency: io.Idempotency
     gateway: int
-    life: int  # of that gateway
+    incarnation: int  # of that gateway: the number of its process
     sent_at: float
-    left_at: float = float("inf")  # its client's end has come to the gateway
-    final_at: float = float("inf")  # the last byte of its answer left the gateway
-    final: str = ""
+    client_left_at: float = float("inf")  # when the client's disconnect reached the gateway
+    answered_at: float = float("inf")  # when the last byte of its answer left the gateway
+    outcome: str = ""
     attempts: list[Attempt] = field(default_factory=list)
-    bodies: list[bytes] = field(default_factory=list)  # that backends answered with
+    response_bodies: list[bytes] = field(default_factory=list)  # of the responses that backends sent
     trace: list[tuple[float, str]] = field(default_factory=list)
 
 
 class Checks:
-    """`crowded`: idle clients fill the descriptors; new connections may then be closed or left unread."""
+    """Records requests, attempts and backend changes, and counts the rules that they break.
+
+    `crowded`: idle connections use up the gateway's descriptors, so new connections may be closed or left
+    unread.
+    """
 
     def __init__(self, crowded: bool = False) -> None:
         self._crowded = crowded
-        self.unread = 0  # requests whose new connection was closed, and nothing sent on
+        self.unread_count = 0  # requests lost on a new connection without any attempt
         self.broken: Counter[str] = Counter()
-        self.examples: list[tuple[float, str, str]] = []  # when, rule, id or whom it was about
-        self.asked: dict[str, SentRequest] = {}
-        self._left: dict[tuple[int, str], float] = {}  # gateway, backend: since when a leave counts as told
-
-    def add_violation(self, now: float, rule: str, about: str) -> None:
+        self.examples: list[tuple[float, str, str]] = []  # time, rule, request id or other subject
+        self.requests: dict[str, SentRequest] = {}
+        self._leave_known_at: dict[
+            tuple[int, str], float
+        ] = {}  # by gateway and backend: when the gateway has to know
+
+    def add_violation(self, now: float, rule: str, subject: str) -> None:
+        """Count a violation of `rule` by `subject`, a request id or a gateway or backend."""
         self.broken[rule] += 1
-        if self.broken[rule] <= KEPT:
-            self.examples.append((now, rule, about))
+        if self.broken[rule] <= MAX_EXAMPLES:
+            self.examples.append((now, rule, subject))
 
     # Clients.
 
-    def record_request(self, asked: SentRequest) -> None:
-        self.asked[asked.name] = asked
-        asked.trace.append((asked.sent_at, f"client sends it to gateway {asked.gateway}"))
+    def record_request(self, request: SentRequest) -> None:
+        """A client sends a request."""
+        self.requests[request.name] = request
+        request.trace.append((request.sent_at, f"client sends it to gateway {request.gateway}"))
 
     def record_response(
-        self, now: float, asked: SentRequest, status: int, body: bytes, sent_at: float
+        self, now: float, request: SentRequest, status: int, body: bytes, sent_at: float
     ) -> str:
-        """A whole answer has come, whose last byte left the gateway at `sent_at`; how it counts: `served`,
-        `refused` or `failed`."""
-        asked.trace.append((now, f"client gets {status}"))
-        if asked.final:
-            self.add_violation(now, "a second final answer", asked.name)
-            return asked.final
-        asked.final = "served" if status == 200 else "refused" if status in (429, 503) else "failed"
-        asked.final_at = sent_at
-        if now > asked.client_try.deadline_ms + LATE_MS:
-            self.add_violation(now, "no final answer in time", asked.name)
-        if status == 200 and body not in asked.bodies:
-            self.add_violation(now, "served with what no backend made for it", asked.name)
+        """A client received a complete answer whose last byte left the gateway at `sent_at`.
+
+        Returns its outcome: `served`, `refused` or `failed`.
+        """
+        request.trace.append((now, f"client gets {status}"))
+        if request.outcome:
+            self.add_violation(now, "a second final answer", request.name)
+            return request.outcome
+        request.outcome = "served" if status == 200 else "refused" if status in (429, 503) else "failed"
+        request.answered_at = sent_at
+        if now > request.client_try.deadline_ms + LATE_ANSWER_MS:
+            self.add_violation(now, "no final answer in time", request.name)
+        if status == 200 and body not in request.response_bodies:
+            self.add_violation(now, "served with what no backend made for it", request.name)
         if (
-            asked.final == "refused"
-            and asked.repeat is io.Idempotency.UNSAFE
-            and any(attempt.ran for attempt in asked.attempts)
+            request.outcome == "refused"
+            and request.idempotency is io.Idempotency.UNSAFE
+            and any(attempt.may_have_run for attempt in request.attempts)
         ):
-            self.add_violation(now, "refused what may have run", asked.name)
-        if any(attempt.sent_at > sent_at for attempt in asked.attempts):
-            self.add_violation(now, "sent on after its end", asked.name)
-        return asked.final
-
-    def record_no_response(self, now: float, asked: SentRequest, why: str, new: bool) -> None:
-        """Its connection ended without an answer, or its time is up: it is lost. Not so on a new connection
-        of which nothing was sent on: such may be closed, if they are few."""
-        asked.trace.append((now, f"client gets no answer: {why}"))
-        asked.final = asked.final or "lost"
-        if new and not asked.attempts and (why == CLOSED or self._crowded):
-            self.unread += 1
-            if not self._crowded and self.unread > max(1, len(self.asked) // UNREAD_SHARE):
-                self.add_violation(now, "too many new connections closed with no answer", asked.name)
+            self.add_violation(now, "refused what may have run", request.name)
+        if any(attempt.sent_at > sent_at for attempt in request.attempts):
+            self.add_violation(now, "sent on after its end", request.name)
+        return request.outcome
+
+    def record_no_response(self, now: float, request: SentRequest, reason: str, new_connection: bool) -> None:
+        """A request's connection ended without an answer, or its deadline passed, for `reason`.
+
+        This is a violation, except on a new connection without any attempt: the gateway may close a few of
+        those.
+        """
+        request.trace.append((now, f"client gets no answer: {reason}"))
+        request.outcome = request.outcome or "lost"
+        if new_connection and not request.attempts and (reason == CONNECTION_ENDED or self._crowded):
+            self.unread_count += 1
+            if not self._crowded and self.unread_count > max(1, len(self.requests) // REQUESTS_PER_UNREAD):
+                self.add_violation(now, "too many new connections closed with no answer", request.name)
         else:
-            self.add_violation(now, f"no final answer: {why}", asked.name)
+            self.add_violation(now, f"no final answer: {reason}", request.name)
 
-    def record_gateway_death(self, now: float, asked: SentRequest) -> None:
-        """Its gateway has died with it."""
-        asked.trace.append((now, "its gateway died"))
-        asked.final = asked.final or "died"
+    def record_gateway_death(self, now: float, request: SentRequest) -> None:
+        """The gateway died while the request was open, which breaks no rule."""
+        request.trace.append((now, "its gateway died"))
+        request.outcome = request.outcome or "died"
 
-    def record_client_leave(self, now: float, heard_at: float, asked: SentRequest) -> None:
-        """Its client goes, which comes to the gateway then."""
-        asked.trace.append((now, "client leaves"))
-        asked.left_at, asked.final = heard_at, asked.final or "left"
+    def record_client_leave(self, now: float, received_at: float, request: SentRequest) -> None:
+        """The client disconnects, which reaches the gateway at `received_at`."""
+        request.trace.append((now, "client leaves"))
+        request.client_left_at, request.outcome = received_at, request.outcome or "left"
 
     # Backends.
 
     def record_attempt(
-        self, now: float, name: str, text: bytes, backend: str, gateway: int, peer, grace_ms: float
+        self, now: float, name: str, content: bytes, backend: str, gateway: int, peer, grace_ms: float
     ) -> tuple[SentRequest, Attempt] | None:
-        """A request has come whole to a backend; None where nobody asked for it."""
-        asked = self.asked.get(name)
-        if asked is None:
+        """A complete request reached a backend. Returns None if no client sent it.
+
+        `grace_ms`: how long the gateway may go on sending to a backend that leaves.
+        """
+        request = self.requests.get(name)
+        if request is None:
             self.add_violation(now, "sent on what no client asked", name)
             return None
         attempt = Attempt(backend, peer.sent_at, now, peer)
-        asked.trace.append((now, f"backend {backend} has it whole, number {len(asked.attempts)}"))
-        if text != asked.text:
+        request.trace.append((now, f"backend {backend} receives it, attempt {len(request.attempts)}"))
+        if content != request.content:
             self.add_violation(now, "passed on changed", name)
-        if any(earlier.out(attempt.sent_at) for earlier in asked.attempts):
+        if any(earlier.in_flight(attempt.sent_at) for earlier in request.attempts):
             self.add_violation(now, "two attempts at once", name)
-        if asked.repeat is io.Idempotency.UNSAFE and any(earlier.ran for earlier in asked.attempts):
+        if request.idempotency is io.Idempotency.UNSAFE and any(
+            earlier.may_have_run for earlier in request.attempts
+        ):
             self.add_violation(now, "an unsafe request sent again that may have run", name)
-        if attempt.sent_at > asked.left_at + LEFT_MS:
+        if attempt.sent_at > request.client_left_at + ATTEMPT_AFTER_DISCONNECT_MS:
             self.add_violation(now, "begun after its client left", name)
-        if attempt.sent_at > asked.final_at:
+        if attempt.sent_at > request.answered_at:
             self.add_violation(now, "sent on after its end", name)
-        told = self._left.get((gateway, backend))
-        if told is not None and attempt.sent_at > told + grace_ms + SOCKETS_MS:
+        leave_known_at = self._leave_known_at.get((gateway, backend))
+        if leave_known_at is not None and attempt.sent_at > leave_known_at + grace_ms + SOCKET_TOLERANCE_MS:
             self.add_violation(now, "sent to a backend that had left", name)
-        asked.attempts.append(attempt)
-        return asked, attempt
+        request.attempts.append(attempt)
+        return request, attempt
 
     # Discovery.
 
-    def record_backend_change(self, gateway: int, backend: str, leaves: bool, counts_at: float) -> None:
-        """A change counts as told from then on."""
-        if not leaves:
-            self._left.pop((gateway, backend), None)
+    def record_backend_change(self, gateway: int, backend: str, leaving: bool, known_at: float) -> None:
+        """A gateway is told that a backend is up or leaves, and has to follow it from `known_at` on."""
+        if not leaving:
+            self._leave_known_at.pop((gateway, backend), None)
         else:
             key = gateway, backend
-            self._left[key] = min(self._left.get(key, counts_at), counts_at)
+            self._leave_known_at[key] = min(self._leave_known_at.get(key, known_at), known_at)
--- a/emulator/command.py
+++ b/emulator/command.py
@@ -1,4 +1,4 @@
-"""The command line of the emulator: one play, and the search for a day that breaks a rule."""
+"""The emulator's commands: `emulate` runs one world, `search` looks for one that breaks a rule."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from scale import report
 from scale.__main__ import SpreadParam, print_progress, write_json
 
-from . import search as searching
+from . import search as search_module
 from .faults import KINDS, Fault
 from .world import Options, Record, play
 
 DEFAULTS = Options()
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
-NUMBERS = {field.name: field.default for field in fields(Fault) if field.name != "kind"}
+FAULT_DEFAULTS = {field.name: field.default for field in fields(Fault) if field.name != "kind"}
 
 
-class FaultText(click.ParamType):
-    """`zone-cut`, or with its numbers: `zone-cut,at_s=3,for_s=2,part=0.5`."""
+class FaultParam(click.ParamType):
+    """A fault as an option's value, such as `zone-cut` or `zone-cut,at_s=3,for_s=2,part=0.5`."""
 
     name = "KIND[,NAME=NUMBER...]"
 
@@ -33,8 +33,8 @@
         numbers = {}
         for pair in pairs:
             name, _, number = pair.partition("=")
-            if name not in NUMBERS:
-                self.fail(f"{name!r} is none of {', '.join(NUMBERS)}", param, ctx)
+            if name not in FAULT_DEFAULTS:
+                self.fail(f"{name!r} is none of {', '.join(FAULT_DEFAULTS)}", param, ctx)
             try:
                 numbers[name] = float(number)
             except ValueError:
@@ -45,8 +45,8 @@
             self.fail(str(error), param, ctx)
 
 
-def fleet(command: Callable) -> Callable:
-    """The options of a fleet, for a command that takes them by the names of `Options`."""
+def fleet_options(command: Callable) -> Callable:
+    """Decorate a command with the options of a fleet, which it gets under the names of `Options` fields."""
     for option in (
         click.option(
             "--gateways", type=click.IntRange(1, 1000), default=DEFAULTS.gateways, show_default=True
@@ -81,18 +81,18 @@
     return command
 
 
-def told(record: Record, found: dict) -> None:
-    """A play on the terminal: figures, latency, and what was broken."""
-    click.echo(report.format_pairs(found))
+def print_record(record: Record, figures: dict) -> None:
+    """Print a run: its figures, its violations and the errors that gateways logged."""
+    click.echo(report.format_pairs(figures))
     for rule, count in record.broken.items():
         click.echo(f"broken: {rule}, {count} times")
-        click.echo(searching.format_trace(record, rule))
+        click.echo(search_module.format_trace(record, rule))
     for line in record.errors:
         click.echo(f"a gateway logged: {line}")
 
 
-def results(record: Record) -> dict:
-    """What is kept of a play, as JSON takes it."""
+def collect_figures(record: Record) -> dict:
+    """The figures of a run, ready for JSON."""
     latency = {
         f"latency_ms_p{share:g}": record.latency.get_value_at_percentile(share) / 1000.0
         for share in PERCENTILES
@@ -108,40 +108,42 @@
 
 
 @click.command()
-@fleet
+@fleet_options
 @click.option(
     "--load",
     type=click.FloatRange(0.001, 2),
     default=DEFAULTS.load,
     show_default=True,
-    help="Asked inside quotas, as a share of what the backends can do.",
+    help="Load inside quotas, as a share of the backends' capacity.",
 )
 @click.option(
     "--leave",
     type=click.FloatRange(0, 1),
     default=DEFAULTS.leave,
     show_default=True,
-    help="Share of the tries whose client goes within 0.2 s.",
+    help="Share of the tries whose client disconnects within 0.2 s.",
 )
 @click.option(
     "--hollow",
     type=click.IntRange(0),
     default=DEFAULTS.hollow,
     show_default=True,
-    help="Of the gateways: the module alone, without the network code.",
+    help="Number of the gateways that run the decision module without the network code.",
 )
 @click.option(
     "--fault",
     "faults",
-    type=FaultText(),
+    type=FaultParam(),
     multiple=True,
-    help="What goes wrong; may be given more than once. Times in seconds from the start. Kinds: "
+    help="A fault to inject; may be given more than once. Times in seconds from the start. Kinds: "
     f"{', '.join(sorted(KINDS))}.",
 )
 @click.option("--seed", type=click.IntRange(0), default=DEFAULTS.seed, show_default=True)
-@click.option("--json", "file", type=click.Path(dir_okay=False, writable=True), help="Keep the record there.")
+@click.option(
+    "--json", "file", type=click.Path(dir_okay=False, writable=True), help="Write the record to this file."
+)
 def emulate(file: str | None, **options) -> None:
-    """Play whole gateways in virtual time, and check the rules. The same options give the same bytes.
+    """Run whole gateways in virtual time and check the rules. The same options give the same bytes.
 
     Exit code 0 only if all rules were kept.
     """
@@ -149,19 +151,19 @@
         chosen = Options(**options)
     except ValueError as error:
         raise click.UsageError(str(error)) from None
-    began = time.monotonic()
+    started_at = time.monotonic()
     print_progress(
-        f"playing {chosen.gateways} gateways before {chosen.backends} backends for {chosen.seconds:g} s"
+        f"running {chosen.gateways} gateways and {chosen.backends} backends for {chosen.seconds:g} virtual s"
     )
     record = play(chosen)
-    print_progress(f"played in {time.monotonic() - began:.1f} s")
-    found = results(record)
-    told(record, found)
+    print_progress(f"finished in {time.monotonic() - started_at:.1f} s")
+    figures = collect_figures(record)
+    print_record(record, figures)
     write_json(
         file,
         {
-            "again": searching.replay_expression(chosen),
-            "figures": found,
+            "again": search_module.replay_expression(chosen),
+            "figures": figures,
             "broken": record.broken,
             "errors": record.errors,
         },
@@ -172,13 +174,13 @@
 
 
 @click.command()
-@fleet
+@fleet_options
 @click.option(
     "--kind",
     "kinds",
     type=click.Choice(sorted(KINDS)),
     multiple=True,
-    help="Faults of these kinds alone; may be given more than once.",
+    help="Draw faults of these kinds only; may be given more than once.",
 )
 @click.option(
     "--for",
@@ -186,17 +188,17 @@
     type=click.FloatRange(0.1, 3600),
     default=60.0,
     show_default=True,
-    help="Real seconds to search; what breaks a rule is made small in as long again at most.",
+    help="Real seconds to search; a run that breaks a rule is then reduced for at most as long again.",
 )
 @click.option(
     "--seed",
     type=click.IntRange(0),
     default=DEFAULTS.seed,
     show_default=True,
-    help="Of the days that are drawn.",
+    help="Seed of the runs that are drawn.",
 )
 def search(kinds: tuple[str, ...], for_s: float, seed: int, **options) -> None:
-    """Draw days on a fleet until a rule breaks or the time is up, and tell how to play that day again.
+    """Run random worlds on a fleet until a rule breaks or the time is up, and print how to repeat that run.
 
     Exit code 0 only if none broke.
     """
@@ -204,11 +206,11 @@
         base = replace(DEFAULTS, **options)
     except ValueError as error:
         raise click.UsageError(str(error)) from None
-    found = searching.search(base, seed, for_s, kinds, print_progress)
+    found = search_module.search(base, seed, for_s, kinds, print_progress)
     if found is None:
         click.echo("no rule broke")
         return
-    click.echo(f"broken after {found.plays} plays, made small in {found.shrinks}: {found.rule}")
-    click.echo(searching.format_trace(found.record, found.rule))
-    click.echo(f"again: {searching.replay_expression(found.options)}")
+    click.echo(f"broken after {found.plays} runs, reduced in {found.shrinks} more: {found.rule}")
+    click.echo(search_module.format_trace(found.record, found.rule))
+    click.echo(f"again: {search_module.replay_expression(found.options)}")
     sys.exit(1)
--- a/emulator/framing.py
+++ b/emulator/framing.py
@@ -1,23 +1,26 @@
-"""Where an HTTP message ends, for stand-ins that read requests or answers off a connection."""
+"""HTTP message framing for the simulated clients and backends, by Content-Length only."""
 
 from __future__ import annotations
 
 import re
 
-LENGTH = re.compile(rb"\r\ncontent-length: *(\d+)", re.IGNORECASE)
+CONTENT_LENGTH = re.compile(rb"\r\ncontent-length: *(\d+)", re.IGNORECASE)
 
 
-def take(data: bytearray) -> tuple[bytes, bytes] | None:
-    """Take the first whole message off `data`: its head, up to the end of its last line, and its body. None,
-    and nothing is taken, until it is whole."""
-    end = data.find(b"\r\n\r\n")
-    if end < 0:
+def take_message(data: bytearray) -> tuple[bytes, bytes] | None:
+    """Remove the first complete message from `data` and return its head and its body.
+
+    The head includes the line end of its last line. Returns None and leaves `data` as it is while the
+    message is incomplete.
+    """
+    head_end = data.find(b"\r\n\r\n")
+    if head_end < 0:
         return None
-    head = bytes(data[: end + 2])
-    length = LENGTH.search(head)
-    whole = end + 4 + (int(length[1]) if length else 0)
-    if len(data) < whole:
+    head = bytes(data[: head_end + 2])
+    content_length = CONTENT_LENGTH.search(head)
+    message_size = head_end + 4 + (int(content_length[1]) if content_length else 0)
+    if len(data) < message_size:
         return None
-    body = bytes(data[end + 4 : whole])
-    del data[:whole]
+    body = bytes(data[head_end + 4 : message_size])
+    del data[:message_size]
     return head, body
--- a/emulator/gateway.py
+++ b/emulator/gateway.py
@@ -1,4 +1,4 @@
-"""A whole gateway: `elderhub`'s own `Host` on a machine in memory, life after life under one address."""
+"""A whole gateway: `elderhub.host.Host` on an in-memory machine, with successive processes at one address."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from scale.clients import Try
 
 from .agent import Agent
-from .front import Front
+from .clients import ConnectionPool
 from .machine import ProgramMachine, VirtualSystem
 from .servers import COUNTER_ADDRESS
 
-DOWN_MS = 2000.0  # from a gateway's end to its next life
-KILL_MS = 700.0  # SIGKILL comes so long after SIGTERM and the longest deadline
-NOTICED_MS = 300.0  # from SIGTERM until the front sends no new connections
+RESTART_DELAY_MS = 2000.0  # from the end of a gateway's process to the start of the next
+KILL_DELAY_MS = 700.0  # SIGKILL follows SIGTERM after the longest request timeout and this
+DRAIN_NOTICE_MS = 300.0  # from SIGTERM until clients open no new connections
 
 
 class WholeGateway:
-    """As `scale.clients` sees it: takes requests, hears that a client goes, and has died at some time."""
+    """A gateway as `scale.clients` expects it: it takes requests and disconnects, and has a `died_at`."""
 
     def __init__(self, world, number: int, zone: str, settings: io.Settings, seed: int):
         self._world, self.number, self.zone, self.settings = world, number, zone, settings
@@ -33,37 +33,37 @@
         self.address = (f"gateway-{number}", 7070)
         self.agent = Agent(world, number, zone)
         world.discovery.subscribe(self.agent)
-        self._front = Front(world, self, self.address)
-        self.life = 0
+        self._pool = ConnectionPool(world, self, self.address)
+        self.incarnation = 0
         self.running = self.is_ready = False
-        self.died_at = float("inf")  # when; infinite while the front has it
-        self._term_at = float("inf")  # when it was told to end
+        self.died_at = float("inf")  # since when clients avoid it; infinite while they use it
+        self._sigterm_at = float("inf")  # when SIGTERM was sent
         self._killed = False
         self._machine: ProgramMachine | None = None
-        self._most_files = 0  # of lives that are over
+        self._earlier_max_descriptors = 0  # descriptors held at once in earlier processes
         self.host: Host | None = None
         self.start()
 
-    # Its lives.
+    # Processes.
 
     def start(self) -> None:
-        """A new process."""
-        self.life += 1
-        self.running, self.is_ready, self._term_at = True, False, float("inf")
+        """Start a new process."""
+        self.incarnation += 1
+        self.running, self.is_ready, self._sigterm_at = True, False, float("inf")
         self._killed = False
-        self._stop = asyncio.Event()
+        self._stop_requested = asyncio.Event()
         machine = self._machine = ProgramMachine(
             self._world.network,
             f"gateway-{self.number}",
             self.zone,
             self._world.options.sockets,
-            self._crashed,
+            self._record_crash,
         )
-        seed, draws = self._rng.getrandbits(48), Random(self._rng.getrandbits(48))
-        known = self.agent
+        seed, rng = self._rng.getrandbits(48), Random(self._rng.getrandbits(48))
+        agent = self.agent
         listing = Listing(
-            io.BackendsChanged(io.ListKind.CACHED, known.version, tuple(known.known.values())),
-            {name: parse_address(name) for name in known.known},
+            io.BackendsChanged(io.ListKind.CACHED, agent.version, tuple(agent.backends.values())),
+            {name: parse_address(name) for name in agent.backends},
         )
         config = Config(
             name=f"n{self.number}",
@@ -79,76 +79,85 @@
             known=listing,
             settings=self.settings,
         )
-        machine.start(self._program(config, VirtualSystem(machine, draws), self._stop))
-        self._front.watch_start(self.life)
+        machine.start(self._program(config, VirtualSystem(machine, rng), self._stop_requested))
+        self._pool.start_health_checks(self.incarnation)
 
-    async def _program(self, config: Config, system: VirtualSystem, stop: asyncio.Event) -> None:
+    async def _program(self, config: Config, system: VirtualSystem, stop_requested: asyncio.Event) -> None:
         self.host = host = Host(config, system)
         ready = await start_gateway(host, config)
-        await stop.wait()
+        await stop_requested.wait()
         ready.cancel()
         await drain(host, config)
-        self._world.clock.call_at(self._world.clock.now, self._end, self.life, False)
+        self._world.clock.call_at(self._world.clock.now, self._end_process, self.incarnation, False)
 
-    def _crashed(self, why: str) -> None:
-        self._world.crashed(self.number, why)
+    def _record_crash(self, reason: str) -> None:
+        self._world.record_crash(self.number, reason)
 
-    def ready(self, life: int, took_ms: float) -> None:
-        if life == self.life and not self.is_ready:
+    def mark_ready(self, incarnation: int, took_ms: float) -> None:
+        """A health check of this process succeeded, `took_ms` after its start."""
+        if incarnation == self.incarnation and not self.is_ready:
             self.is_ready, self.died_at = True, float("inf")
-            self._world.starts.append(took_ms)
+            self._world.start_durations_ms.append(took_ms)
 
-    def _end(self, life: int, reset: bool) -> None:
-        if life != self.life or not self.running:
+    def _end_process(self, incarnation: int, reset: bool) -> None:
+        if incarnation != self.incarnation or not self.running:
             return
         self.running = self.is_ready = False
         if self.died_at == float("inf"):
             self.died_at = self._world.clock.now
-        self._most_files = self.most_descriptors()
+        self._earlier_max_descriptors = self.most_descriptors()
         self._machine.die(reset)
         self.host = None
 
     def most_descriptors(self) -> int:
-        """Held at once, in any of its lives."""
-        return max(self._most_files, self._machine.most_files)
+        """The most descriptors held at once by any of its processes."""
+        return max(self._earlier_max_descriptors, self._machine.max_files)
 
     def kill(self) -> None:
+        """End the process as by SIGKILL."""
         self._killed = self._killed or self.running
-        self._end(self.life, True)
+        self._end_process(self.incarnation, True)
 
-    def end(self) -> None:
-        """SIGTERM, and SIGKILL when its time is up."""
-        if not self.running or self._term_at < float("inf"):
+    def terminate(self) -> None:
+        """Send SIGTERM, and SIGKILL if the process still runs after the time allowed for draining."""
+        if not self.running or self._sigterm_at < float("inf"):
             return
         clock = self._world.clock
-        self._term_at = clock.now
-        longest = max(kind.timeout_ms for kind in self.settings.classes.values())
-        self._machine.event(self._stop.set)
-        clock.call_at(clock.now + NOTICED_MS, self._noticed, self.life)
+        self._sigterm_at = clock.now
+        longest_timeout_ms = max(kind.timeout_ms for kind in self.settings.classes.values())
+        self._machine.add_event(self._stop_requested.set)
+        clock.call_at(clock.now + DRAIN_NOTICE_MS, self._mark_unavailable, self.incarnation)
         clock.call_at(
-            clock.now + min(longest, MAX_DRAIN_DEADLINE_S * 1000.0) + KILL_MS, self._end, self.life, True
+            clock.now + min(longest_timeout_ms, MAX_DRAIN_DEADLINE_S * 1000.0) + KILL_DELAY_MS,
+            self._end_process,
+            self.incarnation,
+            True,
         )
 
-    def _noticed(self, life: int) -> None:
-        if life == self.life:
+    def _mark_unavailable(self, incarnation: int) -> None:
+        if incarnation == self.incarnation:
             self.died_at = min(self.died_at, self._world.clock.now)
 
-    def killed(self) -> bool:
-        """It does not run, and was given no time to end, or less than it is owed."""
+    def was_killed(self) -> bool:
+        """Whether its last process was ended by `kill`, without time to drain."""
         return self._killed
 
-    def stand_still(self, for_ms: float) -> None:
-        self._machine.stand_still(for_ms)
+    def pause(self, for_ms: float) -> None:
+        """Stop the process from running for this long."""
+        self._machine.pause(for_ms)
 
     # Requests.
 
-    def handle_request(self, t: Try, event: io.RequestArrived) -> bool:
-        self._front.handle_request(t, event)
+    def handle_request(self, client_try: Try, event: io.RequestArrived) -> bool:
+        """A client sends a request. Always True: a refused connection is reported to the world later."""
+        self._pool.handle_request(client_try, event)
         return True
 
-    def client_disconnected(self, t: Try) -> None:
-        self._front.client_disconnected(t)
+    def client_disconnected(self, client_try: Try) -> None:
+        """The client of a request disconnects."""
+        self._pool.client_disconnected(client_try)
 
     @property
-    def front(self) -> Front:
-        return self._front
+    def pool(self) -> ConnectionPool:
+        """The client connections to this gateway."""
+        return self._pool
--- a/emulator/network.py
+++ b/emulator/network.py
@@ -1,8 +1,9 @@
-"""Connections in memory: what a kernel and the wire between two of them do, on one virtual clock.
+"""In-memory stream sockets on a virtual clock, which behave as TCP sockets of a kernel do.
 
-Bytes go in order, late by the link, and may be cut anywhere. A window bounds what was sent and not yet read;
-an end may be half open; closing over unread bytes resets; a listening socket's queue may be full; connections
-may come up late or never, and a machine may be out of descriptors. All that is sent goes into one hash.
+Bytes arrive in order, delayed by the link between the zones, and may be split at any point. A window bounds
+the bytes that are sent and not yet read. A connection may be half closed, and closing a socket with unread
+bytes resets its connection. The queue of a listening socket may be full, connections may be established
+late or never, and a machine may run out of descriptors. A digest covers all bytes sent, to compare runs.
 """
 
 from __future__ import annotations
@@ -19,55 +20,65 @@
 
 Address = tuple[str, int]
 
-WINDOW_BYTES = 128 * 1024  # bytes of one direction that are sent and not yet read, both buffers together
-SPLIT_SHARE = 0.02  # of what is sent comes in two pieces
-SPLIT_DELAY_MS = (0.0, 3.0)  # the second so long after the first
-JITTER = 0.1  # of the link's delay, at most
-SYN_MS = (1000.0, 2000.0, 4000.0)  # a call for a connection that got no answer is made again after these
-ERRORS = select.POLLERR | select.POLLHUP
+WINDOW_BYTES = 128 * 1024  # of one direction: bytes sent and not yet read, in both buffers
+SPLIT_SHARE = 0.02  # of the writes arrive in two pieces
+SPLIT_DELAY_MS = (0.0, 3.0)  # between the two pieces
+MAX_JITTER_SHARE = 0.1  # of the link's delay, added at most
+SYN_RETRY_MS = (1000.0, 2000.0, 4000.0)  # delays before an unanswered connection request is repeated
+ERROR_EVENTS = select.POLLERR | select.POLLHUP
 
 
 class Machine:
-    """Where sockets live. `descriptors` bounds them; a silent one neither hears nor says anything."""
+    """A machine with one process, which holds sockets.
 
-    def __init__(self, network: Network, name: str, zone: str, descriptors: int | None = None, used: int = 0):
+    `descriptors`: how many descriptors the process may hold (None: no limit); `reserved`: how many of these
+    are taken from the start. A silent machine neither sends nor receives.
+    """
+
+    def __init__(
+        self, network: Network, name: str, zone: str, descriptors: int | None = None, reserved: int = 0
+    ):
         self.network, self.name, self.zone = network, name, zone
         self.files: dict[int, Socket | Listener] = {}  # by descriptor, in the order they were opened
-        self._descriptors, self._used = descriptors, used
-        self._next = used
-        self.most_files = used  # held at once
+        self._max_descriptors, self._reserved = descriptors, reserved
+        self._last_descriptor = reserved
+        self.max_files = reserved  # descriptors held at once so far
         self.dead = False  # its process has ended
 
     @property
-    def silent(self) -> bool:
+    def is_silent(self) -> bool:
+        """Whether the machine neither sends nor receives."""
         return False
 
     @property
-    def refuses(self) -> bool:
-        """No process is there to listen."""
+    def refuses_connections(self) -> bool:
+        """Whether connections are refused because no process listens."""
         return False
 
-    def claim(self, what: Socket | Listener) -> int:
-        """A descriptor; raises OSError where none is left."""
+    def allocate_descriptor(self, file: Socket | Listener) -> int:
+        """Allocate a descriptor. Raises OSError if none is free or the process has ended."""
         if self.dead:
             raise OSError(errno.ESRCH, "No such process")
-        held = len(self.files) + self._used
-        if self._descriptors is not None and held >= self._descriptors:
+        held = len(self.files) + self._reserved
+        if self._max_descriptors is not None and held >= self._max_descriptors:
             raise OSError(errno.EMFILE, "Too many open files")
-        self._next += 1  # never one that was held before: nothing can be taken for what it is not
-        self.files[self._next] = what
-        self.most_files = max(self.most_files, held + 1)
-        return self._next
-
-    def listen(self, where: Address, backlog: int, ready: Callable[[], None]) -> Listener:
-        """`ready` is called whenever a connection has come into the queue. Raises OSError."""
-        if where in self.network.listening:
-            raise OSError(errno.EADDRINUSE, f"{where} is in use")
-        found = self.network.listening[where] = Listener(self, where, backlog, ready)
+        self._last_descriptor += 1  # numbers are not reused, so a stale one never names another socket
+        self.files[self._last_descriptor] = file
+        self.max_files = max(self.max_files, held + 1)
+        return self._last_descriptor
+
+    def listen(self, address: Address, backlog: int, on_connection: Callable[[], None]) -> Listener:
+        """Open a listening socket; `on_connection` is called for each connection that enters its queue.
+
+        Raises OSError if the address is in use or no descriptor is free.
+        """
+        if address in self.network.listening:
+            raise OSError(errno.EADDRINUSE, f"{address} is in use")
+        found = self.network.listening[address] = Listener(self, address, backlog, on_connection)
         return found
 
     def die(self, reset: bool = True) -> None:
-        """The process ends: its connections are reset, or closed as they are, and new ones are refused."""
+        """End the process. Its connections are reset (or closed if `reset` is False), new ones refused."""
         self.dead = True
         for file in list(self.files.values()):
             if reset and isinstance(file, Socket):
@@ -77,348 +88,398 @@
 
 
 class Listener:
-    """A listening socket."""
-
-    def __init__(self, machine: Machine, where: Address, backlog: int, ready: Callable[[], None]):
-        self.machine, self.where, self._backlog, self.ready = machine, where, backlog, ready
-        self._number = machine.claim(self)
+    """A listening socket with a bounded queue of connections to accept."""
+
+    def __init__(self, machine: Machine, address: Address, backlog: int, on_connection: Callable[[], None]):
+        self.machine, self.address, self._backlog, self.on_connection = (
+            machine,
+            address,
+            backlog,
+            on_connection,
+        )
+        self._descriptor = machine.allocate_descriptor(self)
         self.queue: deque[Socket] = deque()
-        self.dropped = 0  # calls that found the queue full
+        self.dropped = 0  # connection requests that found the queue full
 
     def fileno(self) -> int:
-        return self._number
+        return self._descriptor
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
+        """Whether the queue takes no further connection; counts the request as dropped if so."""
         if len(self.queue) <= self._backlog:
             return False
         self.dropped += 1
         return True
 
     def accept(self) -> tuple[Socket, Address]:
+        """Take the oldest connection. Raises OSError if there is none or no descriptor is free."""
         if not self.queue:
-            raise BlockingIOError(errno.EAGAIN, "nobody waits")
-        self.queue[0].own()
+            raise BlockingIOError(errno.EAGAIN, "no connection is queued")
+        self.queue[0].assign_descriptor()
         return self.queue.popleft(), ("client", 0)
 
     def close(self) -> None:
-        if self._number < 0:
+        if self._descriptor < 0:
             return
-        del self.machine.files[self._number], self.machine.network.listening[self.where]
-        self._number = -1
+        del self.machine.files[self._descriptor], self.machine.network.listening[self.address]
+        self._descriptor = -1
         while self.queue:
             self.queue.popleft().abort()
 
 
 class Socket:
-    """One end of a connection. `reader` is called when there is something to read, or an end; `writer` when
-    more can be written."""
+    """One end of a connection.
+
+    `on_readable` is called when there are bytes to read or the peer has ended or reset the connection,
+    `on_writable` when the send window opens again.
+    """
 
     __slots__ = (
         "machine",
-        "number",
-        "name",
+        "descriptor",
+        "connection_id",
         "peer",
         "receive_buffer",
-        "ended",
-        "reset",
-        "shut",
+        "eof_received",
+        "reset_received",
+        "sending_shut_down",
         "closed",
-        "window",
-        "blocked",
-        "due",
-        "reader",
-        "writer",
+        "send_window",
+        "send_blocked",
+        "last_arrival_ms",
+        "on_readable",
+        "on_writable",
         "send_closed_at",
         "sent_at",
-        "up",
+        "established",
     )
 
-    def __init__(self, machine: Machine, name: int):
-        self.machine, self.name = machine, name  # the connection's number, with its side as the sign
-        self.number = -1
+    def __init__(self, machine: Machine, connection_id: int):
+        self.machine, self.connection_id = (
+            machine,
+            connection_id,
+        )  # connection number; negative on the accepting side
+        self.descriptor = -1
         self.peer: Socket | None = None
         self.receive_buffer = bytearray()
-        self.ended = self.reset = False  # the other side has; as far as it has come here
-        self.shut = self.closed = self.up = False
-        self.send_closed_at = float("inf")  # when this side ended its sending, or closed
-        self.window, self.blocked, self.due = WINDOW_BYTES, False, 0.0
-        self.sent_at = 0.0  # when bytes last left
-        self.reader: Callable[[], None] = _nobody
-        self.writer: Callable[[], None] = _nobody
-
-    def own(self) -> Socket:
-        """Take a descriptor for it; raises OSError."""
-        self.number = self.machine.claim(self)
+        self.eof_received = self.reset_received = False  # by the peer, once that has arrived
+        self.sending_shut_down = self.closed = self.established = False
+        self.send_closed_at = float("inf")  # when this side shut down sending, or closed
+        self.send_window, self.send_blocked, self.last_arrival_ms = WINDOW_BYTES, False, 0.0
+        self.sent_at = 0.0  # when bytes were last sent
+        self.on_readable: Callable[[], None] = _no_callback
+        self.on_writable: Callable[[], None] = _no_callback
+
+    def assign_descriptor(self) -> Socket:
+        """Allocate a descriptor for this socket. Raises OSError."""
+        self.descriptor = self.machine.allocate_descriptor(self)
         return self
 
     def fileno(self) -> int:
-        return self.number
+        return self.descriptor
 
     def setblocking(self, flag: bool) -> None:
-        """It never blocks."""
+        """Does nothing: these sockets never block."""
 
     def send(self, data: bytes) -> int:
-        """How many bytes are taken; raises OSError where the connection has ended."""
-        if self.reset or self.closed:
+        """Send as much as the window takes and return how many bytes.
+
+        Raises OSError on a closed connection.
+        """
+        if self.reset_received or self.closed:
             raise ConnectionResetError(errno.ECONNRESET, "Connection reset by peer")
-        if self.shut:
+        if self.sending_shut_down:
             raise BrokenPipeError(errno.EPIPE, "Broken pipe")
-        taken = min(len(data), self.window)
+        taken = min(len(data), self.send_window)
         if taken < len(data):
-            self.blocked = True
+            self.send_blocked = True
         if taken:
-            self.window -= taken
+            self.send_window -= taken
             self.sent_at = self.machine.network.clock.now
-            self.machine.network.carry(self, bytes(data[:taken]))
+            self.machine.network.transmit(self, bytes(data[:taken]))
         return taken
 
-    def read(self, most: int) -> bytes:
-        """What has come, at most so much; empty where nothing has."""
-        data = bytes(self.receive_buffer[:most])
+    def read(self, max_bytes: int) -> bytes:
+        """Return up to `max_bytes` received bytes; empty if there are none."""
+        data = bytes(self.receive_buffer[:max_bytes])
         if data:
-            del self.receive_buffer[:most]
+            del self.receive_buffer[:max_bytes]
             peer = self.peer
-            peer.window += len(data)
-            if peer.blocked:
-                peer.blocked = False
-                self.machine.network.later(self, _call_writer, peer)
+            peer.send_window += len(data)
+            if peer.send_blocked:
+                peer.send_blocked = False
+                self.machine.network.call_after_delay(self, _notify_writable, peer)
         return data
 
     def shutdown(self) -> None:
-        """End the sending; what comes is still read."""
-        if not (self.shut or self.closed or self.reset):
-            self.shut, self.send_closed_at = True, self.machine.network.clock.now
-            self.machine.network.carry(self, None)
+        """Shut down sending; received bytes can still be read."""
+        if not (self.sending_shut_down or self.closed or self.reset_received):
+            self.sending_shut_down, self.send_closed_at = True, self.machine.network.clock.now
+            self.machine.network.transmit(self, None)
 
     def close(self) -> None:
-        """Over unread bytes, a reset."""
+        """Close the socket, with a reset if there are unread bytes."""
         if not self.closed:
-            self._end(bool(self.receive_buffer))
+            self._close(bool(self.receive_buffer))
 
     def abort(self) -> None:
+        """Close the socket with a reset."""
         if not self.closed:
-            self._end(True)
+            self._close(True)
 
-    def _end(self, reset: bool) -> None:
+    def _close(self, reset: bool) -> None:
         self.closed = True
         self.send_closed_at = min(self.send_closed_at, self.machine.network.clock.now)
         self.receive_buffer.clear()
-        self.machine.files.pop(self.number, None)
-        if self.peer is None or self.reset:
+        self.machine.files.pop(self.descriptor, None)
+        if self.peer is None or self.reset_received:
             return
-        if reset or not self.up:
-            self.machine.network.carry(self, RESET)
-        elif not self.shut:
-            self.machine.network.carry(self, None)
-
-    def arrive(self, data: bytes | None) -> None:
-        """Bytes, an end or a reset have come."""
-        if self.machine.silent or self.reset:
+        if reset or not self.established:
+            self.machine.network.transmit(self, RESET)
+        elif not self.sending_shut_down:
+            self.machine.network.transmit(self, None)
+
+    def deliver(self, data: bytes | None) -> None:
+        """Handle the arrival of bytes, an end of stream (None) or a reset."""
+        if self.machine.is_silent or self.reset_received:
             return
         if self.closed:
             if data is not RESET and data is not None:
-                self.machine.network.carry(self, RESET)
+                self.machine.network.transmit(self, RESET)
             return
         if data is RESET:
-            self.reset = True
+            self.reset_received = True
         elif data is None:
-            self.ended = True
+            self.eof_received = True
         else:
             self.receive_buffer += data
-        self.reader()
+        self.on_readable()
 
-    def events(self) -> int:
-        """As `poll` tells them."""
-        found = select.POLLIN if self.receive_buffer or self.ended or self.reset else 0
-        if self.ended or self.reset:
+    def poll_events(self) -> int:
+        """The events that `select.poll` would report."""
+        found = select.POLLIN if self.receive_buffer or self.eof_received or self.reset_received else 0
+        if self.eof_received or self.reset_received:
             found |= select.POLLRDHUP
-        if self.reset:
-            found |= ERRORS
-        elif self.ended and self.shut:
+        if self.reset_received:
+            found |= ERROR_EVENTS
+        elif self.eof_received and self.sending_shut_down:
             found |= select.POLLHUP
         return found
 
 
-RESET = b"\0reset"  # told apart by identity
+RESET = b"\0reset"  # compared by identity, so no payload equals it
 
 
-def _nobody() -> None:
-    """Nobody looks at this end yet."""
+def _no_callback() -> None:
+    """Callback of a socket that has no owner yet."""
 
 
-def _call_writer(sock: Socket) -> None:
-    if not (sock.closed or sock.machine.silent):
-        sock.writer()
+def _notify_writable(sock: Socket) -> None:
+    if not (sock.closed or sock.machine.is_silent):
+        sock.on_writable()
 
 
 class Poll:
-    """Stands in for `select.poll` on one machine."""
+    """Replaces a `select.poll` object on one machine."""
 
     def __init__(self, machine: Machine):
-        self._files, self._wanted = machine.files, {}
+        self._files, self._wanted_events = machine.files, {}
 
-    def register(self, number: int, events: int) -> None:
-        self._wanted[number] = events | ERRORS
+    def register(self, descriptor: int, events: int) -> None:
+        """Watch a descriptor for `events`."""
+        self._wanted_events[descriptor] = events | ERROR_EVENTS
 
     def poll(self, timeout_ms: float) -> list[tuple[int, int]]:
-        """What is so now; it never waits."""
+        """Return the descriptors with events. Never waits."""
         found = []
-        for number, wanted in self._wanted.items():
-            sock = self._files.get(number)
-            events = sock.events() & wanted if sock is not None else select.POLLNVAL
+        for descriptor, wanted_events in self._wanted_events.items():
+            sock = self._files.get(descriptor)
+            events = sock.poll_events() & wanted_events if sock is not None else select.POLLNVAL
             if events:
-                found.append((number, events))
+                found.append((descriptor, events))
         return found
 
 
 class Network:
-    """The wire between all machines, with what goes wrong on it."""
+    """The network between all machines, with its delays, splits and partitions."""
 
     def __init__(self, clock: Clock, links: Links, rng: Random):
         self.clock, self.links, self._rng = clock, links, rng
         self.listening: dict[Address, Listener] = {}
-        self.bytes = self.connections = 0  # sent; made or tried
+        self.bytes = self.connections = 0  # bytes sent; connections attempted
         self._digest = hashlib.blake2b(digest_size=16)
-        self._held: list[tuple[Socket, bytes | None]] = []  # sent over links that are cut
-        # What a connection to this address has to wait before it comes up, in ms; None: it never does.
-        self.connect_delay_ms: Callable[[Address, Random], float | None] = lambda where, rng: 0.0
+        self._held: list[tuple[Socket, bytes | None]] = []  # sent over partitioned links
+        # Extra delay in ms before a connection to this address is established; None: it never is.
+        self.connect_delay_ms: Callable[[Address, Random], float | None] = lambda address, rng: 0.0
 
     def digest(self) -> str:
-        """Over all that was sent so far: by which end, when it comes, and its bytes."""
+        """Digest of everything sent so far: sender, arrival time and bytes."""
         return self._digest.hexdigest()
 
     def _delay(self, a: Machine, b: Machine) -> float:
         return self.links.delay_ms(a.zone, b.zone)
 
-    def later(self, sock: Socket, call: Callable, *args) -> None:
-        """When a word from this end has reached the other."""
-        self.clock.call_at(self.clock.now + self._delay(sock.machine, sock.peer.machine), call, *args)
+    def call_after_delay(self, sock: Socket, callback: Callable, *args) -> None:
+        """Schedule `callback` for when a message from this socket would reach its peer."""
+        self.clock.call_at(self.clock.now + self._delay(sock.machine, sock.peer.machine), callback, *args)
 
-    def carry(self, sock: Socket, data: bytes | None) -> None:
-        """Bytes, an end (None) or a reset, to the other end. Over a cut link they wait until it is healed."""
-        if sock.machine.silent or sock.peer is None:
+    def transmit(self, sock: Socket, data: bytes | None) -> None:
+        """Transmit bytes, an end of stream (None) or a reset to the peer.
+
+        While the link is partitioned, they wait until it heals.
+        """
+        if sock.machine.is_silent or sock.peer is None:
             return
         if not self.links.can_reach(sock.machine.zone, sock.peer.machine.zone):
             self._held.append((sock, data))
             return
         if data is None or data is RESET or len(data) < 2 or self._rng.random() >= SPLIT_SHARE:
-            self._bring(sock, data, 0.0)
+            self._schedule_delivery(sock, data, 0.0)
         else:
             at = self._rng.randrange(1, len(data))
-            self._bring(sock, data[:at], 0.0)
-            self._bring(sock, data[at:], self._rng.uniform(*SPLIT_DELAY_MS))
-
-    def _bring(self, sock: Socket, data: bytes | None, wait_ms: float) -> None:
-        delay = self._delay(sock.machine, sock.peer.machine) * (1.0 + JITTER * self._rng.random())
-        sock.due = max(sock.due, self.clock.now + delay + wait_ms)
-        body = data or b""
-        self.bytes += len(body) if data is not RESET else 0
-        self._digest.update(b"%d %r %d " % (sock.name, sock.due, len(body)))
-        self._digest.update(body)
-        self.clock.call_at(sock.due, sock.peer.arrive, data)
+            self._schedule_delivery(sock, data[:at], 0.0)
+            self._schedule_delivery(sock, data[at:], self._rng.uniform(*SPLIT_DELAY_MS))
+
+    def _schedule_delivery(self, sock: Socket, data: bytes | None, wait_ms: float) -> None:
+        delay = self._delay(sock.machine, sock.peer.machine) * (1.0 + MAX_JITTER_SHARE * self._rng.random())
+        sock.last_arrival_ms = max(sock.last_arrival_ms, self.clock.now + delay + wait_ms)
+        payload = data or b""
+        self.bytes += len(payload) if data is not RESET else 0
+        self._digest.update(b"%d %r %d " % (sock.connection_id, sock.last_arrival_ms, len(payload)))
+        self._digest.update(payload)
+        self.clock.call_at(sock.last_arrival_ms, sock.peer.deliver, data)
 
     def send_held(self) -> None:
-        """Links may reach again: what waited goes on."""
+        """Transmit what waited for a partition to heal."""
         held, self._held = self._held, []
         for sock, data in held:
-            self.carry(sock, data)
+            self.transmit(sock, data)
 
     def connect(
-        self, machine: Machine, where: Address, up: Callable[[], None], failed: Callable[[OSError], None]
+        self,
+        machine: Machine,
+        address: Address,
+        on_connected: Callable[[], None],
+        on_error: Callable[[OSError], None],
     ) -> Socket:
-        """Begin a connection; raises OSError where there is no descriptor. One of the two is called later, or
-        none where it never comes up; none once the socket was closed."""
+        """Open a connection and return its socket. Raises OSError if no descriptor is free.
+
+        Later, `on_connected` is called when it is established or `on_error` when it is refused. Neither is
+        called if it is never established or the socket was closed before.
+        """
         self.connections += 1
-        sock = Socket(machine, self.connections).own()
-        wait_ms = self.connect_delay_ms(where, self._rng)
+        sock = Socket(machine, self.connections).assign_descriptor()
+        wait_ms = self.connect_delay_ms(address, self._rng)
         if wait_ms is not None:
-            self.clock.call_at(self.clock.now + wait_ms, self._call, sock, where, up, failed, 0)
+            self.clock.call_at(
+                self.clock.now + wait_ms, self._send_syn, sock, address, on_connected, on_error, 0
+            )
         return sock
 
-    def _call(self, sock: Socket, where: Address, up, failed, turn: int) -> None:
+    def _send_syn(self, sock: Socket, address: Address, on_connected, on_error, retry: int) -> None:
         if sock.closed:
             return
-        there = self.listening.get(where)
-        zone = there.machine.zone if there is not None else self._zone(where, sock)
+        listener = self.listening.get(address)
+        zone = listener.machine.zone if listener is not None else self._unknown_zone(address, sock)
         if not self.links.can_reach(sock.machine.zone, zone):
-            self._call_again(sock, where, up, failed, turn)
+            self._retry_syn(sock, address, on_connected, on_error, retry)
             return
         delay = self.links.delay_ms(sock.machine.zone, zone)
-        self.clock.call_at(self.clock.now + delay, self._called, sock, where, up, failed, turn, delay)
-
-    def _zone(self, where: Address, sock: Socket) -> str:
-        return sock.machine.zone  # of a place where nobody listens: its neighbour says so
-
-    def _call_again(self, sock: Socket, where: Address, up, failed, turn: int) -> None:
-        if turn < len(SYN_MS):
-            self.clock.call_at(self.clock.now + SYN_MS[turn], self._call, sock, where, up, failed, turn + 1)
-
-    def _called(self, sock: Socket, where: Address, up, failed, turn: int, delay: float) -> None:
+        self.clock.call_at(
+            self.clock.now + delay, self._receive_syn, sock, address, on_connected, on_error, retry, delay
+        )
+
+    def _unknown_zone(self, address: Address, sock: Socket) -> str:
+        return sock.machine.zone  # nobody listens there, so the refusal comes from the caller's own zone
+
+    def _retry_syn(self, sock: Socket, address: Address, on_connected, on_error, retry: int) -> None:
+        if retry < len(SYN_RETRY_MS):
+            self.clock.call_at(
+                self.clock.now + SYN_RETRY_MS[retry],
+                self._send_syn,
+                sock,
+                address,
+                on_connected,
+                on_error,
+                retry + 1,
+            )
+
+    def _receive_syn(
+        self, sock: Socket, address: Address, on_connected, on_error, retry: int, delay: float
+    ) -> None:
         if sock.closed:
             return
-        there = self.listening.get(where)
-        if there is None or there.machine.refuses:
-            self.clock.call_at(self.clock.now + delay, self._refused, sock, failed)
-        elif there.machine.silent or there.full():
-            self._call_again(sock, where, up, failed, turn)
+        listener = self.listening.get(address)
+        if listener is None or listener.machine.refuses_connections:
+            self.clock.call_at(self.clock.now + delay, self._refuse, sock, on_error)
+        elif listener.machine.is_silent or listener.is_full():
+            self._retry_syn(sock, address, on_connected, on_error, retry)
         else:
-            other = Socket(there.machine, -sock.name)
-            sock.peer, other.peer, other.up = other, sock, True
-            there.queue.append(other)
-            self.clock.call_at(self.clock.now + delay, self._up, sock, up)
-            there.ready()
+            accepted = Socket(listener.machine, -sock.connection_id)
+            sock.peer, accepted.peer, accepted.established = accepted, sock, True
+            listener.queue.append(accepted)
+            self.clock.call_at(self.clock.now + delay, self._establish, sock, on_connected)
+            listener.on_connection()
 
-    def _refused(self, sock: Socket, failed: Callable[[OSError], None]) -> None:
+    def _refuse(self, sock: Socket, on_error: Callable[[OSError], None]) -> None:
         if not sock.closed:
-            failed(ConnectionRefusedError(errno.ECONNREFUSED, "Connection refused"))
+            on_error(ConnectionRefusedError(errno.ECONNREFUSED, "Connection refused"))
 
-    def _up(self, sock: Socket, up: Callable[[], None]) -> None:
+    def _establish(self, sock: Socket, on_connected: Callable[[], None]) -> None:
         if not sock.closed:
-            sock.up = True
-            up()
+            sock.established = True
+            on_connected()
 
 
 class Stream:
-    """A stand-in's end of a connection: `heard` gets what comes, `over` is told once of the end (True: by a
-    reset). What the window does not take waits here."""
-
-    def __init__(self, sock: Socket, heard: Callable[[bytes], None], over: Callable[[bool], None]):
-        self.sock, self.heard, self.over = sock, heard, over
-        self._waiting = bytearray()
-        self._over = False
-        sock.reader, sock.writer = self._read, self._write
-        if sock.events():
-            sock.machine.network.clock.call_at(sock.machine.network.clock.now, self._read)
-
-    def _read(self) -> None:
+    """Buffered socket of a simulated client or server.
+
+    `on_data` is called with received bytes, `on_end` once when the peer ends the connection (True: by a
+    reset). Bytes that do not fit into the send window are buffered.
+    """
+
+    def __init__(self, sock: Socket, on_data: Callable[[bytes], None], on_end: Callable[[bool], None]):
+        self.sock, self.on_data, self.on_end = sock, on_data, on_end
+        self._unsent = bytearray()
+        self._ended = False
+        sock.on_readable, sock.on_writable = self._handle_readable, self._flush
+        if sock.poll_events():
+            sock.machine.network.clock.call_at(sock.machine.network.clock.now, self._handle_readable)
+
+    def _handle_readable(self) -> None:
         sock = self.sock
-        if sock.closed or not sock.up:
+        if sock.closed or not sock.established:
             return
         data = sock.read(WINDOW_BYTES)
         if data:
-            self.heard(data)
-        if (sock.ended or sock.reset) and not self._over and not sock.closed:
-            self._over = True
-            self.over(sock.reset)
+            self.on_data(data)
+        if (sock.eof_received or sock.reset_received) and not self._ended and not sock.closed:
+            self._ended = True
+            self.on_end(sock.reset_received)
 
     def send(self, data: bytes) -> None:
-        """What can no longer be sent is dropped: the end is told by `over`."""
-        self._waiting += data
-        self._write()
+        """Send bytes, or buffer them while the window is closed.
+
+        Once the connection has ended, they are dropped; `on_end` reports the end.
+        """
+        self._unsent += data
+        self._flush()
 
-    def _write(self) -> None:
+    def _flush(self) -> None:
         try:
-            while self._waiting and (taken := self.sock.send(self._waiting)):
-                del self._waiting[:taken]
+            while self._unsent and (taken := self.sock.send(self._unsent)):
+                del self._unsent[:taken]
         except OSError:
-            self._waiting.clear()
+            self._unsent.clear()
 
     def close(self) -> None:
+        """Close the socket."""
         self.sock.close()
 
     def abort(self) -> None:
+        """Reset the connection."""
         self.sock.abort()
 
-    def other_shut_at(self) -> float:
-        """When the other end stopped sending, or closed; infinite while it has not."""
+    def peer_closed_at(self) -> float:
+        """When the peer stopped sending or closed; infinite until then."""
         return self.sock.peer.send_closed_at
--- a/emulator/servers.py
+++ b/emulator/servers.py
@@ -1,4 +1,4 @@
-"""Stand-ins behind sockets: backends, around the model of `scale.backends`, and the counter's connections."""
+"""Simulated servers: backends, which use the model of `scale.backends`, and the counter service."""
 
 from __future__ import annotations
 
@@ -11,116 +11,123 @@
 from .checks import Attempt, SentRequest
 from .network import Machine, Socket, Stream
 
-SWEEP_MS = 1000.0  # between two looks for connections that stood idle
+SWEEP_INTERVAL_MS = 1000.0  # interval at which idle connections are closed
 BACKLOG = 128
-ID = re.compile(rb"\r\nx-request-id: *([!-~]+)", re.IGNORECASE)
-PROBES = (b"/healthz", b"/load")
-TURNED_AWAY = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
-FAILED = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
-NOISE = b"\x16\x03\x01 not an answer\r\n\r\n"
-SECOND_MS = (0.5, 3.0)  # a second copy of an answer comes so much later
+REQUEST_ID = re.compile(rb"\r\nx-request-id: *([!-~]+)", re.IGNORECASE)
+PROBE_TARGETS = (b"/healthz", b"/load")
+REJECTED_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
+ERROR_RESPONSE = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+INVALID_RESPONSE = b"\x16\x03\x01 not an answer\r\n\r\n"
+DUPLICATE_DELAY_MS = (0.5, 3.0)  # delay of the second copy of an answer
 COUNTER_ADDRESS = ("counter", 6400)
-COUNTER_MOST = 32  # connections of a gateway
-COUNTER_IDLE_MS = 10_000.0
+MAX_COUNTER_CONNECTIONS = 32  # connections that the counter service takes from one gateway
+COUNTER_IDLE_TIMEOUT_MS = 10_000.0
 
 
 class BackendServer(Machine):
-    """One backend's machine. Faults set what is odd about it: `hangs_until` in ms; shares of its answers that
-    are lost, noise, doubled, or a reset in their place."""
+    """The machine of one backend.
+
+    Faults set its misbehaviour: it answers nothing before `hangs_until` (ms), and of its answers some
+    shares are lost, replaced by a reset or by noise, or sent twice.
+    """
 
     def __init__(self, world, backend: Backend):
         super().__init__(world.network, backend.name, backend.zone)
         self.world, self.backend = world, backend
         host, _, port = backend.name.rpartition(":")
         self.hangs_until = 0.0
-        self.lost = self.noise = self.doubled = self.resets = 0.0
-        self.connections: dict[Served, None] = {}
+        self.lost_share = self.invalid_share = self.duplicate_share = self.reset_share = 0.0
+        self.connections: dict[BackendConnection, None] = {}
         self._listener = self.listen((host, int(port)), BACKLOG, self._accept)
         self._sweep()
 
     @property
-    def silent(self) -> bool:
+    def is_silent(self) -> bool:
         return self.backend.health is Health.SILENT
 
     @property
-    def refuses(self) -> bool:
+    def refuses_connections(self) -> bool:
         return self.backend.health is Health.DEAD
 
     def _accept(self) -> None:
-        Served(self, self._listener.accept()[0])
+        BackendConnection(self, self._listener.accept()[0])
 
     def _sweep(self) -> None:
         clock = self.world.clock
-        if not self.silent:
+        if not self.is_silent:
             for connection in list(self.connections):
-                connection.look(clock.now)
-        clock.call_at(clock.now + SWEEP_MS, self._sweep)
+                connection.close_if_idle(clock.now)
+        clock.call_at(clock.now + SWEEP_INTERVAL_MS, self._sweep)
 
-    def stopped(self, health: Health) -> None:
-        """The process has died (its connections are reset) or the machine has vanished (nothing is said)."""
+    def backend_stopped(self, health: Health) -> None:
+        """The backend stopped: its connections are reset if it is dead, or left open if it is silent."""
         connections, self.connections = self.connections, {}
         for connection in connections:
-            connection.stopped(health)
+            connection.backend_stopped(health)
 
 
-class Served:
-    """A connection of a gateway's to a backend."""
+class BackendConnection:
+    """A gateway's connection to a backend."""
 
     def __init__(self, server: BackendServer, sock: Socket):
-        self._server, self._life = server, server.backend.incarnation
+        self._server, self._incarnation = server, server.backend.incarnation
         self._data = bytearray()
-        self._asked: SentRequest | None = None
-        self._attempt: Attempt | None = None  # out for it
-        self._busy = False  # a request or a probe is in work
-        self._since = server.world.clock.now
-        self.stream = Stream(sock, self._heard, self._over)
+        self._request: SentRequest | None = None
+        self._attempt: Attempt | None = None  # in flight for it
+        self._busy = False  # a request or a probe is being handled
+        self._last_active_at = server.world.clock.now
+        self.stream = Stream(sock, self._data_received, self._gateway_closed)
         if server.backend.connect():
             server.connections[self] = None
         else:
             self.stream.abort()
 
-    def look(self, now: float) -> None:
-        if not self._busy and now - self._since >= KEEPALIVE_MS:
-            self._end()
+    def close_if_idle(self, now: float) -> None:
+        """Close the connection if it has been idle for the keep-alive time."""
+        if not self._busy and now - self._last_active_at >= KEEPALIVE_MS:
+            self._close()
 
-    def _end(self, reset: bool = False) -> None:
+    def _close(self, reset: bool = False) -> None:
         if (
             self._server.connections.pop(self, self) is None
-            and self._life == self._server.backend.incarnation
+            and self._incarnation == self._server.backend.incarnation
         ):
             self._server.backend.connections -= 1
-        self._attempt_over()
+        self._end_attempt()
         (self.stream.abort if reset else self.stream.close)()
 
-    def stopped(self, health: Health) -> None:
+    def backend_stopped(self, health: Health) -> None:
+        """The backend is dead or silent."""
         if health is Health.DEAD:
-            self._attempt_over()
+            self._end_attempt()
             self.stream.abort()
-        elif self._attempt is not None:  # out until the gateway gives it up, which nobody here hears
-            self._server.world.accounts[self._asked.client_try.customer].in_flight -= 1
+        elif (
+            self._attempt is not None
+        ):  # the gateway gives it up later, which a silent backend does not notice
+            self._server.world.accounts[self._request.client_try.customer].in_flight -= 1
             self._attempt = None
 
-    def _attempt_over(self) -> None:
+    def _end_attempt(self) -> None:
         if self._attempt is not None:
             self._attempt.ended_at = self._server.world.clock.now
-            self._server.world.accounts[self._asked.client_try.customer].in_flight -= 1
+            self._server.world.accounts[self._request.client_try.customer].in_flight -= 1
             self._attempt = None
 
-    def _over(self, reset: bool) -> None:
-        """The gateway has given it up."""
-        self._end()
+    def _gateway_closed(self, reset: bool) -> None:
+        """The gateway has closed the connection."""
+        self._close()
 
-    def _heard(self, data: bytes) -> None:
-        if self._life != self._server.backend.incarnation:  # another process by now
+    def _data_received(self, data: bytes) -> None:
+        if self._incarnation != self._server.backend.incarnation:  # the backend has restarted
             self.stream.abort()
             return
-        self._since = self._server.world.clock.now
+        self._last_active_at = self._server.world.clock.now
         self._data += data
-        message = framing.take(self._data)
+        message = framing.take_message(self._data)
         if message is not None:
-            self._take(*message)
+            self._handle_request(*message)
 
-    def _take(self, head: bytes, body: bytes) -> None:
+    def _handle_request(self, head: bytes, body: bytes) -> None:
         server, world = self._server, self._server.world
         now = world.clock.now
         method, target, _ = head.split(b"\r\n", 1)[0].split(b" ", 2)
@@ -129,125 +136,139 @@
                 now, "two requests at once on a connection", head[:60].decode("latin-1")
             )
         self._busy = True
-        if target in PROBES:
-            world.probes += 1
-            self._write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        if target in PROBE_TARGETS:
+            world.probe_count += 1
+            self._send_answer(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             return
-        name = ID.search(head)
-        text = b"%b %b\n%b" % (method, target, body)
+        request_id = REQUEST_ID.search(head)
+        content = b"%b %b\n%b" % (method, target, body)
         peer = self.stream.sock.peer
-        found = world.attempt(name[1].decode() if name else "", text, server, peer)
+        found = world.record_attempt(request_id[1].decode() if request_id else "", content, server, peer)
         if found is None:
-            self._write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
+            self._send_answer(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
             return
-        asked, self._attempt = self._asked, _ = found
-        told = world.told_start(peer.machine.name, server.backend)
-        if server.backend.record_attempt(asked.client_try.work_ms, told):
-            world.fell(server.backend)
+        request, self._attempt = self._request, _ = found
+        informed = world.knows_start(peer.machine.name, server.backend)
+        if server.backend.record_attempt(request.client_try.work_ms, informed):
+            world.stop_overloaded_backend(server.backend)
             return
-        done = server.backend.serve(asked.client_try.work_ms)
-        if done is None:
-            self._attempt.ran = False
+        done_at = server.backend.serve(request.client_try.work_ms)
+        if done_at is None:
+            self._attempt.may_have_run = False
             world.outcomes["full"] += 1
-            self._write(TURNED_AWAY)
+            self._send_answer(REJECTED_RESPONSE)
         else:
-            world.clock.call_at(max(done, server.hangs_until), self._done, asked, self._attempt)
+            world.clock.call_at(max(done_at, server.hangs_until), self._respond, request, self._attempt)
 
-    def _done(self, asked: SentRequest, attempt: Attempt) -> None:
+    def _respond(self, request: SentRequest, attempt: Attempt) -> None:
         server, rng = self._server, self._server.world.rng_answers
         world = server.world
-        if self._attempt is not attempt or server.silent or self._life != server.backend.incarnation:
+        if (
+            self._attempt is not attempt
+            or server.is_silent
+            or self._incarnation != server.backend.incarnation
+        ):
             return
         if server.hangs_until > world.clock.now:
-            world.clock.call_at(server.hangs_until, self._done, asked, attempt)
+            world.clock.call_at(server.hangs_until, self._respond, request, attempt)
             return
         draw = rng.random()
-        if draw < server.lost:
-            world.outcomes["lost"] += 1  # and nothing more is said on this connection
-        elif (draw := draw - server.lost) < server.resets:
+        if draw < server.lost_share:
+            world.outcomes["lost"] += 1  # nothing more is sent on this connection
+        elif (draw := draw - server.lost_share) < server.reset_share:
             world.outcomes["reset"] += 1
-            self._end(reset=True)
-        elif (draw := draw - server.resets) < server.noise:
+            self._close(reset=True)
+        elif (draw := draw - server.reset_share) < server.invalid_share:
             world.outcomes["noise"] += 1
-            self._write(NOISE)
+            self._send_answer(INVALID_RESPONSE)
         elif rng.random() < ERROR_SHARE:
             world.outcomes["error"] += 1
-            self._write(FAILED)
+            self._send_answer(ERROR_RESPONSE)
         else:
             world.outcomes["ok"] += 1
-            body = b"%b by %b %d" % (asked.name.encode(), attempt.backend.encode(), len(asked.bodies))
-            asked.bodies.append(body)
+            body = b"%b by %b %d" % (
+                request.name.encode(),
+                attempt.backend.encode(),
+                len(request.response_bodies),
+            )
+            request.response_bodies.append(body)
             answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
-            self._write(answer)
-            if rng.random() < server.doubled:
-                world.clock.call_at(world.clock.now + rng.uniform(*SECOND_MS), self._again, answer)
-
-    def _again(self, answer: bytes) -> None:
-        if not self._busy and self._life == self._server.backend.incarnation:  # nothing else waits on it
+            self._send_answer(answer)
+            if rng.random() < server.duplicate_share:
+                world.clock.call_at(
+                    world.clock.now + rng.uniform(*DUPLICATE_DELAY_MS), self._send_duplicate, answer
+                )
+
+    def _send_duplicate(self, answer: bytes) -> None:
+        if not self._busy and self._incarnation == self._server.backend.incarnation:  # the connection is idle
             self.stream.send(answer)
 
-    def _write(self, answer: bytes) -> None:
-        self._busy, self._since = False, self._server.world.clock.now
+    def _send_answer(self, answer: bytes) -> None:
+        self._busy, self._last_active_at = False, self._server.world.clock.now
         if self._attempt is not None:
-            self._attempt_over()
+            self._end_attempt()
         self.stream.send(answer)
 
 
 class CounterServer(Machine):
-    """The counter behind its address, around the numbers of `scale.counter`."""
+    """The counter service, which uses the model of `scale.counter`."""
 
     def __init__(self, world, zone: str):
         super().__init__(world.network, "counter", zone)
         self.world = world
-        self.held: dict[str, int] = {}  # connections by machine
+        self.connections_by_machine: dict[str, int] = {}  # open connections by client machine
         self._listener = self.listen(COUNTER_ADDRESS, BACKLOG * 32, self._accept)
 
     @property
-    def silent(self) -> bool:
+    def is_silent(self) -> bool:
         return self.world.counter.is_down
 
     def _accept(self) -> None:
-        Lines(self, self._listener.accept()[0])
+        CounterConnection(self, self._listener.accept()[0])
 
 
-class Lines:
-    """A connection to the counter: answers come in the order of the calls."""
+class CounterConnection:
+    """A connection to the counter service. Calls are answered in their order."""
 
     def __init__(self, server: CounterServer, sock: Socket):
-        self._server, self._rest, self._free_at = server, b"", 0.0
-        self._who = sock.peer.machine.name
-        self._spoke = server.world.clock.now
-        self.stream = Stream(sock, self._heard, self._over)
-        held = server.held[self._who] = server.held.get(self._who, 0) + 1
-        if held > COUNTER_MOST:
-            self._over(True)
+        self._server, self._incomplete, self._busy_until = server, b"", 0.0
+        self._machine_name = sock.peer.machine.name
+        self._last_active_at = server.world.clock.now
+        self.stream = Stream(sock, self._data_received, self._close)
+        open_count = server.connections_by_machine[self._machine_name] = (
+            server.connections_by_machine.get(self._machine_name, 0) + 1
+        )
+        if open_count > MAX_COUNTER_CONNECTIONS:
+            self._close(True)
         else:
-            self._look()
+            self._close_if_idle()
 
-    def _look(self) -> None:
+    def _close_if_idle(self) -> None:
         now = self._server.world.clock.now
         if self.stream.sock.closed:
             return
-        if now - self._spoke >= COUNTER_IDLE_MS:
-            self._over(False)
+        if now - self._last_active_at >= COUNTER_IDLE_TIMEOUT_MS:
+            self._close(False)
         else:
-            self._server.world.clock.call_at(self._spoke + COUNTER_IDLE_MS, self._look)
+            self._server.world.clock.call_at(
+                self._last_active_at + COUNTER_IDLE_TIMEOUT_MS, self._close_if_idle
+            )
 
-    def _over(self, reset: bool) -> None:
+    def _close(self, reset: bool) -> None:
         if not self.stream.sock.closed:
-            self._server.held[self._who] -= 1
+            self._server.connections_by_machine[self._machine_name] -= 1
             (self.stream.abort if reset else self.stream.close)()
 
-    def _heard(self, data: bytes) -> None:
+    def _data_received(self, data: bytes) -> None:
         world = self._server.world
-        now = self._spoke = world.clock.now
-        *lines, self._rest = (self._rest + data).split(b"\r\n")
+        now = self._last_active_at = world.clock.now
+        *lines, self._incomplete = (self._incomplete + data).split(b"\r\n")
         for line in lines:
-            done, answer = now, b"pong\r\n"
+            done_at, answer = now, b"pong\r\n"
             if line != b"ping":
-                done, answer = self._add(line, now)
-            self._free_at = max(self._free_at, done)
-            world.clock.call_at(self._free_at, self._say, answer)
+                done_at, answer = self._add(line, now)
+            self._busy_until = max(self._busy_until, done_at)
+            world.clock.call_at(self._busy_until, self._send_answer, answer)
 
     def _add(self, line: bytes, now: float) -> tuple[float, bytes]:
         world = self._server.world
@@ -265,6 +286,6 @@
             return now, b"busy\r\n"
         return found[0], b"ok %.7g\r\n" % found[1]
 
-    def _say(self, answer: bytes) -> None:
-        if not self._server.silent:
+    def _send_answer(self, answer: bytes) -> None:
+        if not self._server.is_silent:
             self.stream.send(answer)
--- a/emulator/virtual.py
+++ b/emulator/virtual.py
@@ -1,7 +1,8 @@
-"""An event loop whose clock stands still while anything is to be done, and else jumps to the next timer.
+"""An asyncio event loop on a virtual clock.
 
-What it plays takes no real time and is the same on any machine. `run` plays a scene on one loop of its own,
-with no network: `connect` stands in. `emulator.machine` sets many such loops on one clock.
+The clock stands still while there is work to do and then jumps to the next timer, so a run takes no real
+time and gives the same result on any machine. `run` runs a coroutine on such a loop without a network: a
+function replaces `create_connection`. `emulator.machine` runs many of these loops on one clock.
 """
 
 from __future__ import annotations
@@ -10,29 +11,34 @@
 import selectors
 
 
-class Selector(selectors.SelectSelector):
-    """Asks the loop in place of waiting. Nothing real ever happens to it."""
+class VirtualSelector(selectors.SelectSelector):
+    """Selector without files. Where it would wait, it calls the loop's `wait` instead."""
 
-    def __init__(self, loop: Loop):
+    def __init__(self, loop: VirtualLoop):
         super().__init__()
         self._loop = loop
 
     def select(self, timeout=None):
-        self._loop.rest(timeout)
+        self._loop.wait(timeout)
         return []
 
 
-class Loop(asyncio.SelectorEventLoop):
+class VirtualLoop(asyncio.SelectorEventLoop):
+    """Event loop on a virtual clock.
+
+    `connect` is the coroutine function `(protocol, host, port)` that replaces the connecting of sockets.
+    """
+
     def __init__(self, connect=None):
-        self.now_s = 0.0  # s
-        super().__init__(Selector(self))
+        self.now_s = 0.0
+        super().__init__(VirtualSelector(self))
         self._connect = connect
 
     def time(self) -> float:
         return self.now_s
 
-    def rest(self, timeout_s: float | None) -> None:
-        """Nothing is to be done for so long (0: something is; None: nothing ever)."""
+    def wait(self, timeout_s: float | None) -> None:
+        """Advance the clock by `timeout_s`, in which nothing is to do (None: nothing ever is)."""
         assert timeout_s is not None, "nothing will ever happen"
         self.now_s += timeout_s
 
@@ -41,11 +47,11 @@
 
 
 class Transport(asyncio.Transport):
-    """This side's end of a connection: keeps what was written, and tells the protocol of the end."""
+    """Transport without a socket: collects what is written, and calls `connection_lost` when it is closed."""
 
     def __init__(self, loop, protocol):
         super().__init__()
-        self._loop, self._protocol, self._over, self.written = loop, protocol, False, b""
+        self._loop, self._protocol, self._closed, self.written = loop, protocol, False, b""
         self.reading = True
 
     def write(self, data):
@@ -58,19 +64,22 @@
         self.reading = True
 
     def abort(self):
-        if not self._over:
-            self._over = True
+        if not self._closed:
+            self._closed = True
             self._loop.call_soon(self._protocol.connection_lost, None)
 
     close = abort
 
     def is_closing(self):
-        return self._over
+        return self._closed
 
 
 def run(scene, connect=None):
-    """Play a scene; nothing of it may be left open."""
-    loop = Loop(connect)
+    """Run the coroutine function `scene` on a new loop, which is its argument, and return its result.
+
+    Tasks that it leaves running are cancelled.
+    """
+    loop = VirtualLoop(connect)
     try:
         return loop.run_until_complete(scene(loop))
     finally:
--- a/emulator/world.py
+++ b/emulator/world.py
@@ -1,4 +1,4 @@
-"""A world of whole gateways among their stand-ins, some hollow ones beside them, from options and a seed."""
+"""A simulated world of whole gateways, and hollow ones if wanted, with their clients and servers."""
 
 from __future__ import annotations
 
@@ -22,32 +22,35 @@
 from scale.world import SETTLE_MS, START_MS
 
 from .checks import Attempt, Checks, SentRequest
+from .faults import DISCONNECT_WITHIN_MS, Fault
 from .faults import KINDS as FAULTS
-from .faults import LEAVE_MS, Fault
 from .gateway import WholeGateway
 from .network import Address, Network
 from .servers import BackendServer, CounterServer
 
-CEILING_SLACK_S = 0.15  # the protocol page: what a ceiling's rate gives in this is allowed on top
-DRAINED_MS = 5000.0  # after the last deadline, for gateways that are told to end
-ERRORS_KEPT = 20  # lines that gateways logged as errors
-STEP_MS = 1000.0  # of play between two words on how far it is
+CEILING_TOLERANCE_S = 0.15  # tolerance of a ceiling on sockets, as the units of its rate in this time
+DRAINED_MS = 5000.0  # after the last deadline, for gateways that drain
+MAX_ERRORS = 20  # error lines kept of the gateways' logs
+PROGRESS_INTERVAL_MS = 1000.0  # virtual time between two reports of progress
 
 
 @dataclass(frozen=True, slots=True)
 class Options(scale.world.Options):
-    """What a play is made of. The same options give the same bytes."""
+    """Everything that determines a run: the same options give the same bytes on the network.
+
+    Raises ValueError that names an invalid field.
+    """
 
     gateways: int = 4
     backends: int = 8
     seconds: float = 10.0
     spread: tuple[int, int] = (2, 4)
-    hollow: int = 0  # of the gateways: the module alone, without the network code
+    hollow: int = 0  # of the gateways: those that run the decision module without the network code
     sockets: int = 256  # descriptors of a gateway
     faults: tuple[Fault, ...] = ()
 
     def __post_init__(self) -> None:
-        for name, least in (
+        for name, minimum in (
             ("gateways", 1),
             ("backends", 1),
             ("cores", 1),
@@ -58,8 +61,8 @@
             ("hollow", 0),
         ):
             value = getattr(self, name)
-            if not isinstance(value, int) or value < least:
-                raise ValueError(f"{name}: {value!r} is no whole number from {least}")
+            if not isinstance(value, int) or value < minimum:
+                raise ValueError(f"{name}: {value!r} is no whole number from {minimum}")
         if not self.seconds > 0.0:
             raise ValueError(f"seconds: {self.seconds!r} is not above 0")
         if self.hollow > self.gateways:
@@ -71,11 +74,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """What a play has shown. `broken` counts by rule, `examples` are the first of these (ms from the start,
-    rule, request or place), `traces` what became of their requests."""
+    """The result of a run.
+
+    `broken` counts violations by rule. `examples` holds the first of each rule: ms from the start, rule,
+    and request id or other subject. `traces` holds the events of these requests, with their times.
+    """
 
     options: Options
-    digest: str  # over all bytes sent, with when and by whom
+    digest: str  # of all bytes sent, with their senders and times
     bytes: int
     connections: int
     figures: dict
@@ -83,14 +89,14 @@
     broken: dict[str, int]
     examples: tuple[tuple[float, str, str], ...]
     traces: dict[str, tuple[tuple[float, str], ...]]
-    errors: tuple[str, ...]  # that gateways logged, or did not catch
-    latency: HdrHistogram = field(compare=False)  # of requests served, in microseconds
-    starts_ms: tuple[float, ...] = ()  # from each start of a gateway until it was ready
-    most_descriptors: int = 0  # held by a gateway at once
+    errors: tuple[str, ...]  # that gateways logged or did not catch
+    latency: HdrHistogram = field(compare=False)  # of served requests, in microseconds
+    starts_ms: tuple[float, ...] = ()  # from each start of a gateway process until it was ready
+    most_descriptors: int = 0  # the most held at once by one gateway
 
 
 class World(scale.world.World):
-    """Its `gateways` are whole but for the last `hollow` ones."""
+    """A `scale.world.World` whose gateways are whole, except for the last `hollow` ones."""
 
     options: Options
 
@@ -99,40 +105,43 @@
         self.latency = histogram()
         self.outcomes: Counter[str] = Counter()
         self.servers: dict[str, BackendServer] = {}
-        self.whole: list[WholeGateway] = []
-        self.leaving: set[str] = set()  # backends that were told to drain
-        self.late, self.never, self.leavers = (0.0, 0.0), 0.0, 0.0
-        self.probes = 0
-        self.starts: list[float] = []
+        self.whole_gateways: list[WholeGateway] = []
+        self.draining: set[str] = set()  # names of the backends that drain
+        self.late_connects, self.failed_connect_share, self.disconnect_share = (0.0, 0.0), 0.0, 0.0
+        self.probe_count = 0
+        self.start_durations_ms: list[float] = []
         self.errors: list[str] = []
         self.rng_answers = Random(options.seed + 4)
-        self._rng_leavers = Random(options.seed + 5)
+        self._rng_disconnects = Random(options.seed + 5)
         super().__init__(options)
         self.links.on_heal = self.network.send_held
 
     @cached_property
     def network(self) -> Network:
         found = Network(self.clock, self.links, Random(self.options.seed + 3))
-        found.connect_delay_ms = self._come_up
+        found.connect_delay_ms = self._connect_delay_ms
         return found
 
     @cached_property
     def _counter_server(self) -> CounterServer:
         return CounterServer(self, self.links.zones[0])
 
-    def _come_up(self, where: Address, rng: Random) -> float | None:
-        if not (self.never or self.late[0]) or f"{where[0]}:{where[1]}" not in self.servers:
+    def _connect_delay_ms(self, address: Address, rng: Random) -> float | None:
+        if (
+            not (self.failed_connect_share or self.late_connects[0])
+            or f"{address[0]}:{address[1]}" not in self.servers
+        ):
             return 0.0
-        if rng.random() < self.never:
+        if rng.random() < self.failed_connect_share:
             return None
-        return rng.uniform(0.0, self.late[1]) if rng.random() < self.late[0] else 0.0
+        return rng.uniform(0.0, self.late_connects[1]) if rng.random() < self.late_connects[0] else 0.0
 
     def _schedule_faults(self) -> None:
         for fault in self.options.faults:
             rng = Random(f"{self.options.seed} {fault}")
             self.clock.call_at(START_MS + fault.at_s * 1000.0, FAULTS[fault.kind].call, self, fault, rng)
 
-    # Parties.
+    # Backends, gateways and customers.
 
     def add_backend(self, number: int, zone: str) -> Backend:
         backend = super().add_backend(number, zone)
@@ -143,144 +152,148 @@
         if number >= self.options.gateways - self.options.hollow:
             return super()._create_gateway(number)
         zone = self.links.zones[number % self.options.zones]
-        assert self._counter_server is not None  # it stands before the first that calls it
+        assert self._counter_server is not None  # created before the first gateway that calls it
         found = WholeGateway(
             self, number, zone, self.gateway_settings(number, zone), self.rng.getrandbits(48)
         )
-        self.whole.append(found)
+        self.whole_gateways.append(found)
         return found
 
     def account_of(self, customer: int, plan: io.Plan) -> Account:
         if customer not in self.accounts and plan.ceiling_rate:
             plan = replace(
-                plan, ceiling_tolerance=plan.ceiling_tolerance + CEILING_SLACK_S * plan.ceiling_rate
+                plan, ceiling_tolerance=plan.ceiling_tolerance + CEILING_TOLERANCE_S * plan.ceiling_rate
             )
         return super().account_of(customer, plan)
 
-    # What may happen to them.
+    # Faults.
 
     def stop_backend(self, backend: Backend, health: Health) -> None:
         super().stop_backend(backend, health)
-        self.servers[backend.name].stopped(health)
+        self.servers[backend.name].backend_stopped(health)
 
     def kill_gateway(self, number: int) -> None:
-        if number < len(self.whole):
-            self.whole[number].kill()
+        if number < len(self.whole_gateways):
+            self.whole_gateways[number].kill()
         else:
             super().kill_gateway(number)
 
     def restart_gateway(self, number: int) -> None:
-        if number >= len(self.whole):
+        if number >= len(self.whole_gateways):
             super().restart_gateway(number)
-        elif not self.whole[number].running:
-            self.whole[number].start()
+        elif not self.whole_gateways[number].running:
+            self.whole_gateways[number].start()
 
-    def fell(self, backend: Backend) -> None:
-        """A cold backend was sent more than it bears."""
+    def stop_overloaded_backend(self, backend: Backend) -> None:
+        """Stop a cold backend that was sent more than it can take."""
         self.record.overloaded_cold_backends += 1
         if backend.informed_share() > OVERLOAD_INFORMED_SHARE:
             self.checks.add_violation(self.clock.now, "a cold backend pushed over", backend.name)
         self.stop_backend(backend, Health.DEAD)
 
-    def crashed(self, gateway: int, why: str) -> None:
+    def record_crash(self, gateway: int, reason: str) -> None:
+        """A gateway did not catch an error."""
         self.checks.add_violation(
             self.clock.now, "an error that a gateway did not catch", f"gateway {gateway}"
         )
-        self._error(f"gateway {gateway}: {why}")
+        self._keep_error(f"gateway {gateway}: {reason}")
 
-    def _error(self, text: str) -> None:
-        if len(self.errors) < ERRORS_KEPT:
+    def _keep_error(self, text: str) -> None:
+        if len(self.errors) < MAX_ERRORS:
             self.errors.append(text)
 
-    # What stand-ins saw.
+    # Observations of clients and servers.
 
-    def told_start(self, machine: str, backend: Backend) -> bool:
-        """Whether that gateway's agent has told it of the backend's present life."""
-        known = self.whole[int(machine.rpartition("-")[2])].agent.known.get(backend.name)
-        return known is not None and known.started_ms >= backend.start_time_ms
+    def knows_start(self, machine: str, backend: Backend) -> bool:
+        """Whether the agent of the gateway on that machine has listed the backend's present start."""
+        entry = self.whole_gateways[int(machine.rpartition("-")[2])].agent.backends.get(backend.name)
+        return entry is not None and entry.started_ms >= backend.start_time_ms
 
-    def attempt(
-        self, name: str, text: bytes, server: BackendServer, peer
+    def record_attempt(
+        self, name: str, content: bytes, server: BackendServer, peer
     ) -> tuple[SentRequest, Attempt] | None:
-        """A request has come whole to a backend."""
+        """Record a complete request that reached a backend. Returns None if no client sent it."""
         now, gateway = self.clock.now, int(peer.machine.name.rpartition("-")[2])
-        grace_ms = self.whole[gateway].settings.drain_grace_ms
-        found = self.checks.record_attempt(now, name, text, server.backend.name, gateway, peer, grace_ms)
+        grace_ms = self.whole_gateways[gateway].settings.drain_grace_ms
+        found = self.checks.record_attempt(now, name, content, server.backend.name, gateway, peer, grace_ms)
         if found is None:
             return None
-        asked, attempt = found
-        t, account = asked.client_try, self.accounts[asked.client_try.customer]
+        request, attempt = found
+        client_try, account = request.client_try, self.accounts[request.client_try.customer]
         self.record.attempts += 1
-        if len(asked.attempts) == 1:
-            self._first_attempt(t, account, asked, attempt)
+        if len(request.attempts) == 1:
+            self._first_attempt(client_try, account, request, attempt)
         account.in_flight += 1
         return found
 
-    def _first_attempt(self, t, account: Account, asked: SentRequest, attempt: Attempt) -> None:
-        r, now = self.record, self.clock.now
-        r.decided.record_value(max(1, int((attempt.sent_at - asked.sent_at) * 1000.0)))
-        if account.exceeds_ceiling(now, t.units):
-            self.checks.add_violation(now, "over the ceiling", asked.name)
-        if account.take_quota(now, t.units):
-            r.sent_inside_quota += 1
-            r.worth_inside_quota += t.worth
+    def _first_attempt(self, client_try, account: Account, request: SentRequest, attempt: Attempt) -> None:
+        record, now = self.record, self.clock.now
+        record.decided.record_value(max(1, int((attempt.sent_at - request.sent_at) * 1000.0)))
+        if account.exceeds_ceiling(now, client_try.units):
+            self.checks.add_violation(now, "over the ceiling", request.name)
+        if account.take_quota(now, client_try.units):
+            record.sent_inside_quota += 1
+            record.worth_inside_quota += client_try.worth
         else:
-            r.sent_beyond_quota += 1
-            r.worth_beyond_quota += t.worth
-            r.beyond_quota_cost += t.worth * account.plan.overrun_cost
-        if self.leavers and self._rng_leavers.random() < self.leavers:
+            record.sent_beyond_quota += 1
+            record.worth_beyond_quota += client_try.worth
+            record.beyond_quota_cost += client_try.worth * account.plan.overrun_cost
+        if self.disconnect_share and self._rng_disconnects.random() < self.disconnect_share:
             self.clock.call_at(
-                now + self._rng_leavers.uniform(0.0, LEAVE_MS),
-                self.whole[asked.gateway].client_disconnected,
-                t,
+                now + self._rng_disconnects.uniform(0.0, DISCONNECT_WITHIN_MS),
+                self.whole_gateways[request.gateway].client_disconnected,
+                client_try,
             )
 
-    def answered(self, asked: SentRequest, how: str, after_ms: float) -> None:
-        """A client has its final answer."""
-        t, r = asked.client_try, self.record
-        if how == "served":
-            self.latency.record_value(max(1, int((self.clock.now - asked.sent_at) * 1000.0)))
-        elif how == "failed":
-            r.failed += 1
+    def response_received(self, request: SentRequest, outcome: str, retry_after_ms: float) -> None:
+        """Record a client's final answer."""
+        client_try, record = request.client_try, self.record
+        if outcome == "served":
+            self.latency.record_value(max(1, int((self.clock.now - request.sent_at) * 1000.0)))
+        elif outcome == "failed":
+            record.failed += 1
         else:
-            r.refused += 1
-            if not asked.attempts:
-                room, half = self.accounts[t.customer].headroom(self.clock.now, t.units)
-                r.refused_with_room += room
-                r.refused_half_unused += half
-        self.ended(asked, how, after_ms)
-
-    def ended(self, asked: SentRequest, how: str, after_ms: float = 0.0) -> None:
-        asked.client_try.done = True
-        self.clients.handle_outcome(asked.client_try, how, after_ms)
-
-    # The play.
+            record.refused += 1
+            if not request.attempts:
+                has_room, half_unused = self.accounts[client_try.customer].headroom(
+                    self.clock.now, client_try.units
+                )
+                record.refused_with_room += has_room
+                record.refused_half_unused += half_unused
+        self.record_outcome(request, outcome, retry_after_ms)
+
+    def record_outcome(self, request: SentRequest, outcome: str, retry_after_ms: float = 0.0) -> None:
+        """Report the outcome of a request to the simulated clients, which may send it again."""
+        request.client_try.done = True
+        self.clients.handle_outcome(request.client_try, outcome, retry_after_ms)
+
+    # The run.
 
     def play(self, progress: Callable[[float], None] = lambda share: None) -> Record:
-        """Let the day pass. `progress` is told the share that has passed."""
-        last = START_MS + self.options.seconds * 1000.0 + SETTLE_MS
-        before = gc.get_threshold()
+        """Run the world to its end. `progress` is called with the share of the time that has passed."""
+        end = START_MS + self.options.seconds * 1000.0 + SETTLE_MS
+        gc_threshold = gc.get_threshold()
         gc.set_threshold(scale.world.GC_THRESHOLD, 20, 100)
         try:
-            with _logged(self._error):
-                while self.clock.now < last:
-                    self.clock.run_until(min(last, self.clock.now + STEP_MS))
-                    progress((self.clock.now - START_MS) / (last - START_MS))
-                found = self._found()
+            with _collect_errors(self._keep_error):
+                while self.clock.now < end:
+                    self.clock.run_until(min(end, self.clock.now + PROGRESS_INTERVAL_MS))
+                    progress((self.clock.now - START_MS) / (end - START_MS))
+                found = self._collect_record()
         finally:
-            for gateway in self.whole:
+            for gateway in self.whole_gateways:
                 gateway.kill()
-            gc.set_threshold(*before)
-            gc.unfreeze()  # gateways freeze what they keep, which goes with the play
+            gc.set_threshold(*gc_threshold)
+            gc.unfreeze()  # gateways freeze long-lived objects, which are garbage after the run
             gc.collect()
         return found
 
-    def _found(self) -> Record:
-        late = sum(gateway.unanswered() for gateway in self.gateways[len(self.whole) :])
+    def _collect_record(self) -> Record:
+        unanswered = sum(gateway.unanswered() for gateway in self.gateways[len(self.whole_gateways) :])
         broken = self.checks.broken + self.record.broken
-        if late:
-            broken["never answered"] += late
-        asked = self.checks.asked
+        if unanswered:
+            broken["never answered"] += unanswered
+        requests = self.checks.requests
         return Record(
             options=self.options,
             digest=self.network.digest(),
@@ -289,42 +302,42 @@
             figures=compute_figures(self),
             outcomes=dict(sorted(self.outcomes.items())),
             broken=dict(sorted(broken.items())),
-            examples=tuple((at - START_MS, rule, about) for at, rule, about in self.checks.examples),
+            examples=tuple((at - START_MS, rule, subject) for at, rule, subject in self.checks.examples),
             traces={
-                about: tuple((at - START_MS, text) for at, text in asked[about].trace)
-                for _, _, about in self.checks.examples
-                if about in asked
+                subject: tuple((at - START_MS, text) for at, text in requests[subject].trace)
+                for _, _, subject in self.checks.examples
+                if subject in requests
             },
             errors=tuple(self.errors),
             latency=self.latency,
-            starts_ms=tuple(self.starts),
-            most_descriptors=max((gateway.most_descriptors() for gateway in self.whole), default=0),
+            starts_ms=tuple(self.start_durations_ms),
+            most_descriptors=max((gateway.most_descriptors() for gateway in self.whole_gateways), default=0),
         )
 
 
-class _Errors(logging.Handler):
-    def __init__(self, told: Callable[[str], None]):
+class _ErrorHandler(logging.Handler):
+    def __init__(self, on_error: Callable[[str], None]):
         super().__init__(logging.ERROR)
-        self._told = told
+        self._on_error = on_error
 
     def emit(self, record: logging.LogRecord) -> None:
-        self._told(self.format(record))
+        self._on_error(self.format(record))
 
 
 @contextlib.contextmanager
-def _logged(told: Callable[[str], None]) -> Iterator[None]:
-    """What gateways log as errors is told, and nothing is printed."""
-    logger, handler = logging.getLogger("elderhub"), _Errors(told)
-    before = logger.propagate
+def _collect_errors(on_error: Callable[[str], None]) -> Iterator[None]:
+    """Pass the errors that gateways log to `on_error`, and print none of their log."""
+    logger, handler = logging.getLogger("elderhub"), _ErrorHandler(on_error)
+    propagate = logger.propagate
     logger.addHandler(handler)
     logger.propagate = False
     try:
         yield
     finally:
         logger.removeHandler(handler)
-        logger.propagate = before
+        logger.propagate = propagate
 
 
 def play(options: Options, progress: Callable[[float], None] = lambda share: None) -> Record:
-    """One day from its options. Raises ValueError where these can't be played, before anything is."""
+    """Run a world with these options and return its record."""
     return World(options).play(progress)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""Whole gateways in virtual time: the same bytes from the same seed, and rules that are seen to break."""
+"""The emulator: runs are reproducible from their seed, and its checks report every rule that breaks."""
 
 import json
 import os
@@ -18,7 +18,7 @@
 from emulator import Fault, Options
 from emulator.checks import Checks, SentRequest
 
-TROUBLED = Options(
+MANY_FAULTS = Options(
     gateways=5,
     hollow=1,
     backends=6,
@@ -36,9 +36,9 @@
 )
 
 
-def test_the_same_seed_gives_the_same_bytes_whatever_the_order_of_hash_tables():
+def test_a_seed_gives_the_same_bytes_whatever_the_hash_seed():
     command = (
-        "import json, emulator; from tests.test_emulator import TROUBLED; r = emulator.play(TROUBLED);"
+        "import json, emulator; from tests.test_emulator import MANY_FAULTS; r = emulator.play(MANY_FAULTS);"
         "print(json.dumps([r.digest, r.figures, r.broken, r.errors]))"
     )
     found = [
@@ -58,12 +58,12 @@
     assert figures["served"] > 500 and figures["left"] > 10
 
 
-def test_another_seed_gives_other_bytes():
-    small = [emulator.play(Options(gateways=2, backends=2, seconds=1.0, seed=seed)) for seed in (1, 2)]
-    assert small[0].digest != small[1].digest
+def test_different_seeds_give_different_bytes():
+    records = [emulator.play(Options(gateways=2, backends=2, seconds=1.0, seed=seed)) for seed in (1, 2)]
+    assert records[0].digest != records[1].digest
 
 
-def test_a_whole_gateway_serves_as_a_hollow_one_does():
+def test_whole_gateways_serve_about_as_many_requests_as_hollow_ones():
     whole, hollow = (emulator.play(Options(hollow=number)) for number in (0, 4))
     assert whole.bytes > 1_000_000 and hollow.bytes == 0
     assert whole.figures["first_tries"] == hollow.figures["first_tries"]
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize(
-    "fault, rule, broken",
+    "fault, rule, patches",
     [
         (
             Fault("leave", 2.0, part=0.5),
@@ -102,76 +102,87 @@
         (Fault("hang", 1.0, 9.0, 0.2), "not ready in time", {(Backends, "has_backend"): lambda self: False}),
     ],
 )
-def test_a_gateway_that_breaks_a_rule_is_seen_to(monkeypatch, fault, rule, broken):
+def test_a_violation_by_a_gateway_is_reported(monkeypatch, fault, rule, patches):
     monkeypatch.setattr("elderhub.__main__.READY_TIMEOUT_S", 60.0)
-    for (owner, name), other in broken.items():
-        monkeypatch.setattr(owner, name, other)
-    # Requests of a client that has left go on only where an attempt fails.
-    also = (Fault("reset", 0.0, 9.0, 0.5),) if fault.kind == "leavers" else ()
-    found = emulator.play(Options(gateways=2, backends=4, seconds=6.0, faults=(fault, *also)))
+    for (owner, name), replacement in patches.items():
+        monkeypatch.setattr(owner, name, replacement)
+    # A request whose client has left is sent again only if an attempt fails.
+    further_faults = (Fault("reset", 0.0, 9.0, 0.5),) if fault.kind == "leavers" else ()
+    found = emulator.play(Options(gateways=2, backends=4, seconds=6.0, faults=(fault, *further_faults)))
     assert found.broken[rule] > 0
     assert any(rule == example[1] for example in found.examples)
 
 
-class Seen(Checks):
-    """A request whose attempts and answers a test tells."""
+class ObservedRequest(Checks):
+    """Checks with one request, whose attempts and answers a test reports."""
 
-    def __init__(self, repeat=io.Idempotency.SAFE):
+    def __init__(self, idempotency=io.Idempotency.SAFE):
         super().__init__()
-        self.one = SentRequest("a", SimpleNamespace(deadline_ms=1000.0), b"GET /\n", repeat, 0, 1, 0.0)
-        self.record_request(self.one)
-
-    def tried(self, at, send_closed_at=float("inf"), text=b"GET /\n", name="a", backend="b"):
-        peer = SimpleNamespace(sent_at=at, send_closed_at=send_closed_at)
-        found = self.record_attempt(at + 1.0, name, text, backend, 0, peer, 2000.0)
+        self.request = SentRequest(
+            "a", SimpleNamespace(deadline_ms=1000.0), b"GET /\n", idempotency, 0, 1, 0.0
+        )
+        self.record_request(self.request)
+
+    def attempt(self, at_ms, send_closed_at=float("inf"), text=b"GET /\n", name="a", backend="b"):
+        peer = SimpleNamespace(sent_at=at_ms, send_closed_at=send_closed_at)
+        found = self.record_attempt(at_ms + 1.0, name, text, backend, 0, peer, 2000.0)
         return found and found[1]
 
-    def got(self, at, status=200, body=b"made"):
-        return self.record_response(at + 1.0, self.one, status, body, at)
+    def response(self, at_ms, status=200, body=b"made"):
+        return self.record_response(at_ms + 1.0, self.request, status, body, at_ms)
 
 
-def test_each_rule_is_kept_by_what_is_right():
-    seen = Seen(io.Idempotency.UNSAFE)
-    first = seen.tried(10.0)
-    first.ran, first.ended_at = False, 20.0
-    seen.tried(30.0)
-    seen.one.bodies.append(b"made")
-    assert seen.got(40.0) == "served" and not seen.broken
-    seen.record_backend_change(0, "b", True, 100.0)
-    safe = Seen()
-    safe.record_backend_change(0, "b", True, 100.0)
-    safe.tried(2149.0, send_closed_at=2160.0)
-    safe.tried(2161.0, backend="c")  # the first was given up before
-    assert not safe.broken
+def test_correct_behaviour_breaks_no_rule():
+    checks = ObservedRequest(io.Idempotency.UNSAFE)
+    first = checks.attempt(10.0)
+    first.may_have_run, first.ended_at = False, 20.0
+    checks.attempt(30.0)
+    checks.request.response_bodies.append(b"made")
+    assert checks.response(40.0) == "served" and not checks.broken
+    checks.record_backend_change(0, "b", True, 100.0)
+    safe_checks = ObservedRequest()
+    safe_checks.record_backend_change(0, "b", True, 100.0)
+    safe_checks.attempt(2149.0, send_closed_at=2160.0)
+    safe_checks.attempt(2161.0, backend="c")  # the gateway had closed the first before
+    assert not safe_checks.broken
 
 
 @pytest.mark.parametrize(
     "rule, events",
     [
-        ("two attempts at once", lambda s: (s.tried(10.0), s.tried(20.0))),
-        ("two attempts at once", lambda s: (s.tried(10.0, send_closed_at=21.0), s.tried(20.0))),
+        ("two attempts at once", lambda checks: (checks.attempt(10.0), checks.attempt(20.0))),
+        (
+            "two attempts at once",
+            lambda checks: (checks.attempt(10.0, send_closed_at=21.0), checks.attempt(20.0)),
+        ),
         (
             "an unsafe request sent again that may have run",
-            lambda s: (s.tried(10.0, send_closed_at=15.0), s.tried(20.0)),
+            lambda checks: (checks.attempt(10.0, send_closed_at=15.0), checks.attempt(20.0)),
+        ),
+        ("refused what may have run", lambda checks: (checks.attempt(10.0), checks.response(20.0, 503))),
+        ("a second final answer", lambda checks: (checks.response(20.0, 502), checks.response(30.0, 502))),
+        (
+            "served with what no backend made for it",
+            lambda checks: (checks.attempt(10.0), checks.response(20.0, 200, b"else")),
+        ),
+        ("no final answer in time", lambda checks: checks.response(1501.0, 502)),
+        ("sent on after its end", lambda checks: (checks.response(20.0, 502), checks.attempt(21.0))),
+        (
+            "begun after its client left",
+            lambda checks: (checks.record_client_leave(10.0, 12.0, checks.request), checks.attempt(113.0)),
         ),
-        ("refused what may have run", lambda s: (s.tried(10.0), s.got(20.0, 503))),
-        ("a second final answer", lambda s: (s.got(20.0, 502), s.got(30.0, 502))),
-        ("served with what no backend made for it", lambda s: (s.tried(10.0), s.got(20.0, 200, b"else"))),
-        ("no final answer in time", lambda s: s.got(1501.0, 502)),
-        ("sent on after its end", lambda s: (s.got(20.0, 502), s.tried(21.0))),
-        ("begun after its client left", lambda s: (s.record_client_leave(10.0, 12.0, s.one), s.tried(113.0))),
         (
             "sent to a backend that had left",
-            lambda s: (s.record_backend_change(0, "b", True, 100.0), s.tried(2151.0)),
+            lambda checks: (checks.record_backend_change(0, "b", True, 100.0), checks.attempt(2151.0)),
         ),
-        ("sent on what no client asked", lambda s: s.tried(10.0, name="x")),
-        ("passed on changed", lambda s: s.tried(10.0, text=b"GET /?\n")),
+        ("sent on what no client asked", lambda checks: checks.attempt(10.0, name="x")),
+        ("passed on changed", lambda checks: checks.attempt(10.0, text=b"GET /?\n")),
     ],
 )
-def test_each_rule_breaks(rule, events):
-    seen = Seen(io.Idempotency.UNSAFE)
-    events(seen)
-    assert seen.broken[rule] == 1
+def test_each_violation_is_counted_once(rule, events):
+    checks = ObservedRequest(io.Idempotency.UNSAFE)
+    events(checks)
+    assert checks.broken[rule] == 1
 
 
 @pytest.mark.parametrize(
@@ -187,6 +198,6 @@
         (lambda: Fault("kill", at_s=-1.0), "at_s"),
     ],
 )
-def test_options_that_cannot_be_played_are_told_by_name(make, name):
+def test_invalid_options_are_reported_by_name(make, name):
     with pytest.raises(ValueError, match=f"^{name}: "):
         make()
