--- a/emulator/agent.py
+++ b/emulator/agent.py
@@ -75,7 +75,7 @@
     def __init__(self, world, number: int, zone: str):
         self._world, self.number, self.zone = world, number, zone
         self.address = (f"agent-{number}", 8500)
-        self.backends: dict[str, io.Backend] = {}
+        self.known_backends: dict[str, io.Backend] = {}
         self.version = 0
         self._changes: list[tuple[int, tuple[io.Backend, ...]]] = []
         self._watches: dict[Watch, None] = {}
@@ -120,16 +120,16 @@
         The gateway counts as informed of a change once its own agent has it.
         """
         now = self._world.clock.now
-        previous = self.backends
+        previous = self.known_backends
         if event.kind is io.ListKind.DELTA:
-            self.backends = dict(previous)
+            self.known_backends = dict(previous)
             self._changes = [*self._changes[1 - MAX_CHANGES :], (event.version, event.backends)]
         else:
-            self.backends, self._changes = {}, []
+            self.known_backends, self._changes = {}, []
         for backend in event.backends:
-            self.backends[backend.id] = backend
+            self.known_backends[backend.id] = backend
             if backend.state is io.BackendState.REMOVED:
-                del self.backends[backend.id]
+                del self.known_backends[backend.id]
         self.version = event.version
         known_at = now if self._silent_since is None else max(now, self._silent_since + SILENT_WATCH_MS)
         for backend in event.backends:
@@ -137,7 +137,7 @@
                 self.number, backend.id, backend.state is not io.BackendState.UP, known_at
             )
         for backend_id in previous:
-            if backend_id not in self.backends:
+            if backend_id not in self.known_backends:
                 self._world.checks.record_backend_change(self.number, backend_id, True, known_at)
         self._answer_waiting()
         for watch in self._watches:
@@ -145,7 +145,7 @@
                 if event.kind is io.ListKind.DELTA:
                     watch.send_list(event.version, False, event.backends)
                 else:
-                    watch.send_list(event.version, True, self.backends.values())
+                    watch.send_list(event.version, True, self.known_backends.values())
 
     def watch_requested(self, watch: Watch) -> None:
         """The head of a watch's request has arrived."""
@@ -165,7 +165,7 @@
         if self._silent_since is not None:
             self._silent_since = None
             for backend in (
-                self.backends.values()
+                self.known_backends.values()
             ):  # changes that the silent watches missed count from now at the latest
                 if backend.state is not io.BackendState.UP:
                     self._world.checks.record_backend_change(
@@ -180,7 +180,7 @@
             latest = {backend.id: backend for change in missed for backend in change}
             watch.send_list(self.version, False, latest.values())
         else:
-            watch.send_list(self.version, True, self.backends.values())
+            watch.send_list(self.version, True, self.known_backends.values())
 
     def watch_closed(self, watch: Watch) -> None:
         """The gateway has closed a watch."""
--- a/emulator/gateway.py
+++ b/emulator/gateway.py
@@ -62,8 +62,8 @@
         seed, rng = self._rng.getrandbits(48), Random(self._rng.getrandbits(48))
         agent = self.agent
         listing = Listing(
-            io.BackendsChanged(io.ListKind.CACHED, agent.version, tuple(agent.backends.values())),
-            {name: parse_address(name) for name in agent.backends},
+            io.BackendsChanged(io.ListKind.CACHED, agent.version, tuple(agent.known_backends.values())),
+            {name: parse_address(name) for name in agent.known_backends},
         )
         config = Config(
             name=f"n{self.number}",
--- a/emulator/world.py
+++ b/emulator/world.py
@@ -206,7 +206,7 @@
 
     def knows_start(self, machine: str, backend: Backend) -> bool:
         """Whether the agent of the gateway on that machine has listed the backend's present start."""
-        entry = self.whole_gateways[int(machine.rpartition("-")[2])].agent.backends.get(backend.name)
+        entry = self.whole_gateways[int(machine.rpartition("-")[2])].agent.known_backends.get(backend.name)
         return entry is not None and entry.started_ms >= backend.start_time_ms
 
     def record_attempt(
--- a/rosehitch/__init__.py
+++ b/rosehitch/__init__.py
@@ -1,1 +1,1 @@
-"""The command `rosehitch`: serve, check a configuration, demo."""
+"""The command `rosehitch`: serves and checks gateways, and runs demos, soaks, emulations, experiments."""
--- a/rosehitch/lateness.py
+++ b/rosehitch/lateness.py
@@ -1,22 +1,22 @@
-"""How late this process is to look, as on a busy machine: limits of time are held no closer than that."""
+"""Measures how late this process runs, as on a busy machine; time limits are checked with this tolerance."""
 
 from __future__ import annotations
 
 import asyncio
 import time
 
-TICK_S = 0.02  # between two looks
+INTERVAL_S = 0.02  # between two measurements
 
 
 class Lateness:
-    """`worst_s`: by how many seconds the loop was ever late while `watch` ran."""
+    """The worst lateness of the event loop in seconds, `worst_s`, while `measure` runs."""
 
     def __init__(self) -> None:
         self.worst_s = 0.0
 
-    async def watch(self) -> None:
-        """Look until cancelled."""
+    async def measure(self) -> None:
+        """Measure until cancelled."""
         while True:
-            before = time.monotonic()
-            await asyncio.sleep(TICK_S)
-            self.worst_s = max(self.worst_s, time.monotonic() - before - TICK_S)
+            started_at = time.monotonic()
+            await asyncio.sleep(INTERVAL_S)
+            self.worst_s = max(self.worst_s, time.monotonic() - started_at - INTERVAL_S)
--- a/rosehitch/rules.py
+++ b/rosehitch/rules.py
@@ -1,7 +1,7 @@
-"""The rules of the protocol, checked from outside: by what clients and backends saw alone.
+"""The rules of the protocol, checked only by what clients and backends observe.
 
-Every call comes with its time, in seconds of one clock that never goes backwards. What a process on a busy
-machine saw late is allowed for when the rules are judged: `Rules.evaluate` is told how late it ever was.
+All times are in seconds on one monotonic clock. On a busy machine observations are late; `Rules.evaluate`
+takes the worst lateness and tolerates it.
 """
 
 from __future__ import annotations
@@ -18,133 +18,151 @@
 WITHIN_QUOTA_RULE = "customers inside their quotas not refused for them"
 RULES = (ONE_ANSWER_RULE, NO_OVERLAP_RULE, UNSAFE_ONCE_RULE, DRAIN_RULE, QUOTA_RULE, WITHIN_QUOTA_RULE)
 
-WIDER_S = 0.05  # every time limit is so much longer on sockets than in the settings
-CEILING_WIDER_S = 0.15  # of its rate, by which the slack of a ceiling is wider on sockets
-ANSWER_LATE_S = 0.5  # past a request's time, up to which an answer only earns nothing
-# so much later the end of a connection may be seen than what was sent after it on another
+SOCKET_TOLERANCE_S = 0.05  # added to every time limit of the settings on sockets
+CEILING_TOLERANCE_S = 0.15  # added tolerance of a ceiling on sockets, as the units of its rate in this time
+LATE_ANSWER_S = 0.5  # past a request's deadline; an answer after that counts as missing
+# The end of a connection may be observed this much later than data sent after it on another connection.
 OBSERVATION_DELAY_S = 0.05
-BEYOND_SHARE = 0.1  # of the units sent on, that may go beyond quotas: they are counted by odds, not by rule
-INSIDE_SHARE = 0.1  # of the requests, that may be refused for a quota with half of its store left: as many
-INSIDE_LEFT = 0.5  # of a store: with that left, a customer is inside its quota
-BEYOND_QUOTA = 429  # the refusal for a quota
-REFUSALS = (BEYOND_QUOTA, 503)
+MAX_BEYOND_QUOTA_SHARE = 0.1  # of the units sent; quotas shared by all gateways are not enforced exactly
+MAX_REFUSED_INSIDE_SHARE = 0.1  # of the requests
+INSIDE_LEVEL_SHARE = 0.5  # of a bucket: a customer with this much left is inside its quota
+QUOTA_EXCEEDED_STATUS = 429  # status of a refusal for a quota
+REFUSAL_STATUSES = (QUOTA_EXCEEDED_STATUS, 503)
 
 
 @dataclass(slots=True)
-class Store:
-    """Of one customer: fills at `rate` units a second up to `most`."""
+class TokenBucket:
+    """The token bucket of one customer, refilled at `rate` units per second up to `capacity`."""
 
     rate: float
-    most: float
+    capacity: float
     level: float
     at: float
 
-    def draw(self, units: float, at: float) -> float:
-        """What is left in it, below 0 where it holds less than that."""
-        self.level = min(self.most, self.level + self.rate * max(0.0, at - self.at)) - units
+    def withdraw(self, units: float, at: float) -> float:
+        """Take units and return the new level, which is negative if there were too few."""
+        self.level = min(self.capacity, self.level + self.rate * max(0.0, at - self.at)) - units
         self.at = max(self.at, at)
         return self.level
 
 
 @dataclass(slots=True)
 class Attempt:
+    """An attempt of a request that reached a backend."""
+
     request: str
     backend: str
-    at: float  # its last byte
-    ran: bool = True  # it may have: only an answer that it was turned away tells that it did not
+    received_at: float  # when its last byte arrived
+    may_have_run: bool = True  # False only once the backend has rejected it
     answered: bool = False
-    closed_at: float | None = None  # its connection ended without an answer
+    closed_at: float | None = None  # when its connection ended without an answer
 
 
 @dataclass(slots=True)
 class Request:
+    """A request of a client, with its attempts."""
+
     customer: str
     plan: str
     safe: bool
-    last_s: float  # when its client stops to wait
+    deadline: float  # when its client gives up
     attempts: list[Attempt] = field(default_factory=list)
-    body: bytes | None = None  # of the last backend that served it
+    body: bytes | None = None  # of the latest answer by a backend
     answered: bool = False
 
 
 class Rules:
-    """What broke, by rule: `broken` once `evaluate` was called. `plans` are the settings' objects, by name.
+    """Collects observations and, once `evaluate` was called, the violations: `broken` counts them by rule.
 
-    Requests are kept until the end: an attempt may come after the answer.
+    `plans`: the plans of the gateways' settings by name; `drain_grace_s`: how long a gateway may go on
+    sending to a backend that leaves. Requests are kept to the end, as an attempt may arrive after the
+    answer.
     """
 
-    def __init__(self, plans: Mapping[str, dict], drain_s: float):
+    def __init__(self, plans: Mapping[str, dict], drain_grace_s: float):
         self.broken: Counter[str] = Counter()
-        self.examples: dict[str, str] = {}  # the first of each
-        self._plans, self._drain_s = plans, drain_s
+        self.examples: dict[str, str] = {}  # the first violation of each rule
+        self._plans, self._drain_grace_s = plans, drain_grace_s
         self._requests: dict[str, Request] = {}
-        self._told: dict[str, float] = {}
-        self._late: list[tuple[float, str, str]] = []  # by how many seconds over its limit; rule, example
-        self._twice: list[tuple[Attempt, Attempt]] = []  # an attempt and a second that came while it was out
-        self._ceilings: dict[str, Store] = {}
-        self._quotas: dict[str, Store] = {}
-        self.units: Counter[str] = Counter()  # sent on, by plan
-        self.beyond: Counter[str] = Counter()  # of these, by how much quotas were overdrawn
-        self.inside: Counter[str] = (
-            Counter()
-        )  # requests refused for a quota with half of its store left, by plan
-
-    def record_request(self, name: str, customer: str, plan: str, safe: bool, last_s: float) -> None:
-        self._requests[name] = Request(customer, plan, safe, last_s)
+        self._leaving_since: dict[str, float] = {}
+        self._limit_excesses: list[tuple[float, str, str]] = []  # seconds over a time limit, rule, example
+        self._overlaps: list[
+            tuple[Attempt, Attempt]
+        ] = []  # an attempt, and another that arrived while it was open
+        self._ceiling_buckets: dict[str, TokenBucket] = {}
+        self._quota_buckets: dict[str, TokenBucket] = {}
+        self.units_sent: Counter[str] = Counter()  # sent to backends, by plan
+        self.beyond_quota: Counter[str] = Counter()  # units by which quotas were overdrawn, by plan
+        # Requests refused for a quota though INSIDE_LEVEL_SHARE of the bucket was left, by plan.
+        self.refused_inside_quota: Counter[str] = Counter()
+
+    def record_request(self, name: str, customer: str, plan: str, safe: bool, deadline: float) -> None:
+        """A client sends a request, for whose answer it waits until `deadline`."""
+        self._requests[name] = Request(customer, plan, safe, deadline)
 
     def record_response(self, name: str, status: int, body: bytes, at: float) -> None:
-        """A client's request came to its end; status 0 is a connection that ended with no whole answer."""
+        """A request ended; status 0 means that its connection ended without a complete answer."""
         request = self._requests[name]
         if not status:
             self.add_violation(ONE_ANSWER_RULE, f"{name} got none: its connection ended")
         elif status == 200 and body != request.body:
             self.add_violation(ONE_ANSWER_RULE, f"{name} was served what no backend made for it")
-        elif status in REFUSALS and not request.safe and any(attempt.ran for attempt in request.attempts):
+        elif (
+            status in REFUSAL_STATUSES
+            and not request.safe
+            and any(attempt.may_have_run for attempt in request.attempts)
+        ):
             self.add_violation(
                 UNSAFE_ONCE_RULE, f"{name} was refused as harmless to repeat, and may have run"
             )
-        if status == BEYOND_QUOTA:
-            self._refused(request, at)
+        if status == QUOTA_EXCEEDED_STATUS:
+            self._count_quota_refusal(request, at)
         request.answered = True
-        self._limit(at - request.last_s - ANSWER_LATE_S, ONE_ANSWER_RULE, f"{name} was answered too late")
+        self._check_limit(
+            at - request.deadline - LATE_ANSWER_S, ONE_ANSWER_RULE, f"{name} was answered too late"
+        )
 
     def withdraw_request(self, name: str) -> None:
-        """Its client has taken a request back that was not read, and sends it once more by another name."""
+        """A client withdraws a request that was not read, to send it again under another id."""
         self._requests[name].answered = True
 
     def record_unsolicited(self, count: int) -> None:
-        """So often an answer came to which no request was out."""
+        """`count` answers arrived that belong to no request."""
         if count:
             self.add_violation(ONE_ANSWER_RULE, f"{count} came with no request out")
 
-    def record_attempt(self, name: str, backend: str, began: float, at: float) -> Attempt:
-        """An attempt reached a backend: when its first and its last byte came."""
+    def record_attempt(self, name: str, backend: str, began_at: float, at: float) -> Attempt:
+        """An attempt reached a backend: its first byte at `began_at`, its last byte at `at`."""
         attempt = Attempt(name, backend, at)
         request = self._requests.get(name)
         if request is None:
             self.add_violation(ONE_ANSWER_RULE, f"{name} at {backend}: nobody asked for it")
             return attempt
         if not request.attempts:
-            self._draw(request, name, at)
-        for before in request.attempts:
-            if before.ran and not request.safe:
-                self.add_violation(UNSAFE_ONCE_RULE, f"{name} at {before.backend}, then at {backend}")
-            if not before.answered and before.closed_at is None:
-                self._twice.append((before, attempt))
-        if backend in self._told:
-            self._limit(
-                began - self._told[backend] - self._drain_s - WIDER_S, DRAIN_RULE, f"{name} at {backend}"
+            self._charge(request, name, at)
+        for earlier in request.attempts:
+            if earlier.may_have_run and not request.safe:
+                self.add_violation(UNSAFE_ONCE_RULE, f"{name} at {earlier.backend}, then at {backend}")
+            if not earlier.answered and earlier.closed_at is None:
+                self._overlaps.append((earlier, attempt))
+        if backend in self._leaving_since:
+            self._check_limit(
+                began_at - self._leaving_since[backend] - self._drain_grace_s - SOCKET_TOLERANCE_S,
+                DRAIN_RULE,
+                f"{name} at {backend}",
             )
         request.attempts.append(attempt)
         return attempt
 
     def record_served(self, attempt: Attempt, body: bytes) -> None:
+        """The backend answers an attempt with this body."""
         attempt.answered = True
         if attempt.request in self._requests:
             self._requests[attempt.request].body = body
 
     def record_rejected(self, attempt: Attempt) -> None:
-        attempt.answered, attempt.ran = True, False
+        """The backend rejects an attempt without running it."""
+        attempt.answered, attempt.may_have_run = True, False
 
     def record_connection_end(self, attempt: Attempt, at: float) -> None:
         """The connection of an attempt ended."""
@@ -152,66 +170,73 @@
             attempt.closed_at = at
 
     def record_backend_leaving(self, backend: str, at: float) -> None:
-        """All gateways were told that a backend drains or is gone."""
-        self._told.setdefault(backend, at)
+        """All gateways were informed that a backend drains or is gone."""
+        self._leaving_since.setdefault(backend, at)
+
+    def evaluate(self, at: float, lateness_s: float) -> None:
+        """Check the rules at the end of a run.
 
-    def evaluate(self, at: float, late_s: float) -> None:
-        """Judge. `late_s`: what was seen may have happened so much earlier, and no more."""
+        `lateness_s`: by how many seconds observations were late at most.
+        """
         for name, request in self._requests.items():
-            if not request.answered and at > request.last_s + ANSWER_LATE_S + late_s:
+            if not request.answered and at > request.deadline + LATE_ANSWER_S + lateness_s:
                 self.add_violation(ONE_ANSWER_RULE, f"{name} got none")
-        for over_s, rule, example in self._late:
-            if over_s > late_s:
-                self.add_violation(rule, f"{example}, {over_s:.3f} s over the limit")
-        for plan, units in self.units.items():
-            if self.beyond[plan] > BEYOND_SHARE * units:
+        for excess_s, rule, example in self._limit_excesses:
+            if excess_s > lateness_s:
+                self.add_violation(rule, f"{example}, {excess_s:.3f} s over the limit")
+        for plan, units in self.units_sent.items():
+            if self.beyond_quota[plan] > MAX_BEYOND_QUOTA_SHARE * units:
                 self.add_violation(
-                    QUOTA_RULE, f"{self.beyond[plan]:.1f} of {units} units of {plan} beyond its quotas"
+                    QUOTA_RULE, f"{self.beyond_quota[plan]:.1f} of {units} units of {plan} beyond its quotas"
                 )
-        refused = sum(self.inside.values())
-        if refused > INSIDE_SHARE * len(self._requests):
+        refused = sum(self.refused_inside_quota.values())
+        if refused > MAX_REFUSED_INSIDE_SHARE * len(self._requests):
             self.add_violation(
                 WITHIN_QUOTA_RULE, f"{refused} of {len(self._requests)} requests with half of the store left"
             )
-        for before, attempt in self._twice:
-            if before.closed_at is None or before.closed_at > attempt.at + OBSERVATION_DELAY_S + late_s:
+        for earlier, attempt in self._overlaps:
+            if (
+                earlier.closed_at is None
+                or earlier.closed_at > attempt.received_at + OBSERVATION_DELAY_S + lateness_s
+            ):
                 self.add_violation(
-                    NO_OVERLAP_RULE, f"{before.request} at {before.backend} and at {attempt.backend}"
+                    NO_OVERLAP_RULE, f"{earlier.request} at {earlier.backend} and at {attempt.backend}"
                 )
 
     def add_violation(self, rule: str, example: str) -> None:
+        """Count a violation, and keep the first example of each rule."""
         self.broken[rule] += 1
         self.examples.setdefault(rule, example)
 
-    def _draw(self, request: Request, name: str, at: float) -> None:
-        """The units of a request's first attempt, from its quota and under its ceiling."""
+    def _charge(self, request: Request, name: str, at: float) -> None:
+        """Charge a request's first attempt to its customer's quota and ceiling."""
         plan, key = self._plans[request.plan], f"{request.plan}/{request.customer}"
-        self.units[request.plan] += 1
-        store = self._quota(request, at)
-        if store is not None:
-            if store.draw(1.0, at) < 0.0:
-                self.beyond[request.plan] += min(1.0, -store.level)
-                store.level = 0.0
+        self.units_sent[request.plan] += 1
+        bucket = self._quota_bucket(request, at)
+        if bucket is not None:
+            if bucket.withdraw(1.0, at) < 0.0:
+                self.beyond_quota[request.plan] += min(1.0, -bucket.level)
+                bucket.level = 0.0
         if rate := plan.get("hardRate"):
-            most = plan["ceilingBurst"]
-            store = self._ceilings.setdefault(key, Store(rate, most, most, at))
-            short = -store.draw(1.0, at) - plan["tolerance"]
-            self._limit(short / rate - CEILING_WIDER_S, QUOTA_RULE, f"{key}, by {name}")
+            capacity = plan["ceilingBurst"]
+            bucket = self._ceiling_buckets.setdefault(key, TokenBucket(rate, capacity, capacity, at))
+            shortage = -bucket.withdraw(1.0, at) - plan["tolerance"]
+            self._check_limit(shortage / rate - CEILING_TOLERANCE_S, QUOTA_RULE, f"{key}, by {name}")
 
-    def _quota(self, request: Request, at: float) -> Store | None:
-        """Of the request's customer, full at first; none where its plan has no quota."""
+    def _quota_bucket(self, request: Request, at: float) -> TokenBucket | None:
+        """The quota bucket of the request's customer, full at first; None if its plan has no quota."""
         plan = self._plans[request.plan]
         if not plan.get("unitsPerS"):
             return None
-        full = Store(plan["unitsPerS"], plan["depth"], plan["depth"], at)
-        return self._quotas.setdefault(f"{request.plan}/{request.customer}", full)
-
-    def _refused(self, request: Request, at: float) -> None:
-        """For its quota: whether its customer was inside it."""
-        store = self._quota(request, at)
-        if store is not None and store.draw(0.0, at) >= INSIDE_LEFT * store.most:
-            self.inside[request.plan] += 1
-
-    def _limit(self, over_s: float, rule: str, example: str) -> None:
-        if over_s > 0.0:
-            self._late.append((over_s, rule, example))
+        full = TokenBucket(plan["unitsPerS"], plan["depth"], plan["depth"], at)
+        return self._quota_buckets.setdefault(f"{request.plan}/{request.customer}", full)
+
+    def _count_quota_refusal(self, request: Request, at: float) -> None:
+        """Count a request refused for its quota if its customer was inside it."""
+        bucket = self._quota_bucket(request, at)
+        if bucket is not None and bucket.withdraw(0.0, at) >= INSIDE_LEVEL_SHARE * bucket.capacity:
+            self.refused_inside_quota[request.plan] += 1
+
+    def _check_limit(self, excess_s: float, rule: str, example: str) -> None:
+        if excess_s > 0.0:
+            self._limit_excesses.append((excess_s, rule, example))
--- a/rosehitch/show.py
+++ b/rosehitch/show.py
@@ -1,4 +1,4 @@
-"""The demo's state as it goes: a live table on a terminal, a line a second elsewhere."""
+"""Displays a running demo: a live table on a terminal, a line per second elsewhere."""
 
 from __future__ import annotations
 
@@ -12,71 +12,76 @@
 from rich.table import Table
 
 from .demo import State
-from .load import ENDS, PLANS, Tally
+from .load import OUTCOMES, PLANS, Tally
 
 PERCENTILES = (50.0, 99.0)
-LINE_S = 1.0  # between two plain lines
+LINE_INTERVAL_S = 1.0  # between two lines where there is no terminal
 
 
 def latency_ms(tally: Tally, percentile: float) -> str:
+    """A percentile of the latency in ms, or "-" if nothing was served."""
     if not tally.latency_us.get_total_count():
         return "-"
     return f"{tally.latency_us.get_value_at_percentile(percentile) / 1000.0:.1f}"
 
 
-def quota(plan: dict) -> str:
-    """A plan's terms, in units."""
+def format_quota(plan: dict) -> str:
+    """Format a plan's quota and ceiling, in units."""
     ceiling = f", never over {plan['hardRate']:g}/s" if plan.get("hardRate") else ""
     return f"{plan['unitsPerS']:g}/s, {plan['depth']:g} at once{ceiling}"
 
 
-def table(state: State) -> Table:
-    quotas = "; ".join(f"{name} {quota(plan)}" for name, plan in PLANS.items())
-    found = Table(
+def build_table(state: State) -> Table:
+    """The state as a table with a row for each plan."""
+    quotas = "; ".join(f"{name} {format_quota(plan)}" for name, plan in PLANS.items())
+    result = Table(
         title=f"{min(state.elapsed_s, state.seconds):.0f} of {state.seconds:g} s: {state.event}",
-        caption=f"Latency of what was served, in ms. Units sent on, and beyond quotas.\n{quotas}",
+        caption=f"Latency of served requests, in ms. Units sent to backends, and beyond quotas.\n{quotas}",
         box=SIMPLE_HEAD,
         padding=(0, 1, 0, 0),
     )
-    found.add_column("plan")
-    for name in ("asked", *ENDS, *(f"p{p:g}" for p in PERCENTILES), "units", "beyond"):
-        found.add_column(name, justify="right")
+    result.add_column("plan")
+    for name in ("asked", *OUTCOMES, *(f"p{percentile:g}" for percentile in PERCENTILES), "units", "beyond"):
+        result.add_column(name, justify="right")
     for name, tally in state.tallies.items():
-        found.add_row(
+        result.add_row(
             name,
-            str(tally.asked),
-            *(str(tally.ends[end]) for end in ENDS),
-            *(latency_ms(tally, p) for p in PERCENTILES),
-            str(state.rules.units[name]),
-            f"{state.rules.beyond[name]:.1f}",
+            str(tally.request_count),
+            *(str(tally.outcomes[outcome]) for outcome in OUTCOMES),
+            *(latency_ms(tally, percentile) for percentile in PERCENTILES),
+            str(state.rules.units_sent[name]),
+            f"{state.rules.beyond_quota[name]:.1f}",
         )
-    return found
+    return result
 
 
-def line(state: State) -> str:
+def format_line(state: State) -> str:
+    """The state as one line of text."""
     plans = "; ".join(
-        f"{name}: asked {tally.asked}, {', '.join(f'{end} {tally.ends[end]}' for end in ENDS)}, "
-        + ", ".join(f"p{p:g} {latency_ms(tally, p)} ms" for p in PERCENTILES)
-        + f", units sent on {state.rules.units[name]}, beyond quotas {state.rules.beyond[name]:.1f}"
+        f"{name}: asked {tally.request_count}, "
+        f"{', '.join(f'{outcome} {tally.outcomes[outcome]}' for outcome in OUTCOMES)}, "
+        + ", ".join(f"p{percentile:g} {latency_ms(tally, percentile)} ms" for percentile in PERCENTILES)
+        + f", units sent on {state.rules.units_sent[name]}, "
+        f"beyond quotas {state.rules.beyond_quota[name]:.1f}"
         for name, tally in state.tallies.items()
     )
     return f"{state.elapsed_s:4.1f} s, {state.event}; {plans}"
 
 
 @contextlib.contextmanager
-def shown() -> Iterator[Callable[[State], None]]:
-    """What takes each state and shows it."""
+def display() -> Iterator[Callable[[State], None]]:
+    """Context manager whose value is a function that displays a state."""
     console = Console()
     if console.is_terminal:
         with Live(console=console, auto_refresh=False) as live:
-            yield lambda state: live.update(table(state), refresh=True)
+            yield lambda state: live.update(build_table(state), refresh=True)
         return
     due_s = 0.0
 
-    def plain(state: State) -> None:
+    def print_line(state: State) -> None:
         nonlocal due_s
         if state.elapsed_s >= due_s:
-            due_s += LINE_S
-            click.echo(line(state))
+            due_s += LINE_INTERVAL_S
+            click.echo(format_line(state))
 
-    yield plain
+    yield print_line
