--- a/emulator/agent.py
+++ b/emulator/agent.py
@@ -12,7 +12,7 @@
 from .network import Machine, Stream
 
 HEARTBEAT_MS = 2000.0  # interval of the empty lines that keep a watch alive
-MAX_CHANGES = 256  # how far back a watch can resume; an older one gets the full list
+MAX_CHANGES = 256  # changes kept to resume watches; a watch from further back gets the full list
 AFTER_PARAMETER = re.compile(rb"[?&]after=(\d+)")
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 LIFECYCLES = {
@@ -37,7 +37,7 @@
 
 
 class Watch:
-    """A watch that the gateway has opened. It is silent once `silent` is set."""
+    """A watch that the gateway has opened. Nothing more is sent on it once `silent` is set."""
 
     def __init__(self, agent: Agent, sock):
         self._agent, self.request_head = agent, b""
@@ -80,9 +80,8 @@
         self._changes: list[tuple[int, tuple[io.Backend, ...]]] = []
         self._watches: dict[Watch, None] = {}
         self._pending_events: list[io.BackendsChanged] = []  # received while the agent was down
-        self._silent_since: float | None = (
-            None  # since when the open watches are silent, while no new one is answered
-        )
+        # Since when the open watches are silent; None once a later watch is answered.
+        self._silent_since: float | None = None
         machine = Machine(world.network, f"agent-{number}", zone)
         self._listener = machine.listen(self.address, 64, self._accept)
         self._send_heartbeats()
@@ -93,8 +92,8 @@
     @property
     def _is_down(self) -> bool:
         """Whether the agent neither receives lists nor answers."""
-        w = self._world
-        return w.discovery.is_down or not w.links.can_reach(self.zone, w.links.zones[0])
+        world = self._world
+        return world.discovery.is_down or not world.links.can_reach(self.zone, world.links.zones[0])
 
     def _send_heartbeats(self) -> None:
         if not self._is_down:
@@ -164,9 +163,8 @@
     def _answer(self, watch: Watch) -> None:
         if self._silent_since is not None:
             self._silent_since = None
-            for backend in (
-                self.known_backends.values()
-            ):  # changes that the silent watches missed count from now at the latest
+            # The new watch reports what the silent ones missed, so it counts from now at the latest.
+            for backend in self.known_backends.values():
                 if backend.state is not io.BackendState.UP:
                     self._world.checks.record_backend_change(
                         self.number, backend.id, True, self._world.clock.now + SAME_ZONE_DELAY_MS
@@ -189,7 +187,7 @@
     # Faults.
 
     def silence_watches(self) -> None:
-        """Silence the open watches; new ones work."""
+        """Send nothing more on the open watches; later ones work."""
         if self._watches:
             self._silent_since = self._world.clock.now
         for watch in self._watches:
--- a/emulator/checks.py
+++ b/emulator/checks.py
@@ -14,17 +14,13 @@
 from scale.clients import Try
 
 SOCKET_TOLERANCE_MS = 50.0  # added to every time limit of the protocol where it is measured on sockets
-LATE_ANSWER_MS = (
-    500.0  # past a request's deadline an answer is worthless, and after this it counts as missing
-)
+LATE_ANSWER_MS = 500.0  # how long past its deadline a request's answer counts as late, not as missing
 ATTEMPT_AFTER_DISCONNECT_MS = 100.0  # no attempt may start later than this after the client disconnected
 SILENT_WATCH_MS = 6000.0  # a gateway has to notice within this time that its discovery watch is silent
 READY_TIMEOUT_MS = 6000.0  # a starting gateway has to be ready within this time
 REQUESTS_PER_UNREAD = 200  # one request in this many may have its new connection closed without an answer
-CONNECTION_ENDED, DEADLINE_PASSED = (
-    "its connection was ended",
-    "its time is up",
-)  # reasons for a missing answer
+# Reasons for a missing answer.
+CONNECTION_ENDED, DEADLINE_PASSED = "its connection was ended", "its time is up"
 MAX_EXAMPLES = 5  # examples kept of each broken rule
 
 
@@ -76,9 +72,8 @@
         self.broken: Counter[str] = Counter()
         self.examples: list[tuple[float, str, str]] = []  # time, rule, request id or other subject
         self.requests: dict[str, SentRequest] = {}
-        self._leave_known_at: dict[
-            tuple[int, str], float
-        ] = {}  # by gateway and backend: when the gateway has to know
+        # When a gateway has to know that a backend leaves, by gateway and backend.
+        self._leave_known_at: dict[tuple[int, str], float] = {}
 
     def add_violation(self, now: float, rule: str, subject: str) -> None:
         """Count a violation of `rule` by `subject`, a request id or a gateway or backend."""
--- a/emulator/faults.py
+++ b/emulator/faults.py
@@ -12,9 +12,7 @@
 from .clients import IdleConnection
 from .gateway import RESTART_DELAY_MS
 
-DISCONNECT_WITHIN_MS = (
-    200.0  # the "leavers" fault disconnects clients within this time after the first attempt
-)
+DISCONNECT_WITHIN_MS = 200.0  # the "leavers" fault disconnects a client this soon after its first attempt
 MAX_PAUSE_S = 0.4  # drawn by a search; after a pause of over 0.5 s every open answer would be too late
 PAUSE_INTERVAL_MS = (200.0, 1500.0)  # between two pauses of a gateway
 CROWD_WITHIN_MS = 200.0  # the connections of a "crowd" fault open within this time
@@ -42,19 +40,19 @@
             if not getattr(self, name) >= minimum:
                 raise ValueError(f"{name}: {getattr(self, name)!r} is below {minimum:g}")
         if not 0.0 <= self.part <= 1.0:
-            raise ValueError(f"part: {self.part!r} is no share")
+            raise ValueError(f"part: {self.part!r} is not between 0 and 1")
 
 
 @dataclass(frozen=True, slots=True)
 class Kind:
     """A kind of fault.
 
-    `about` describes it, `call(world, fault, rng)` injects it. A search draws `Fault.part` from the range
+    `about` describes it, `inject(world, fault, rng)` starts it. A search draws `Fault.part` from the range
     `parts` and `Fault.size` from the range `sizes`.
     """
 
     about: str
-    call: Callable
+    inject: Callable
     parts: tuple[float, float] = (0.1, 1.0)
     sizes: tuple[float, float] = (1.0, 1.0)
 
--- a/emulator/machine.py
+++ b/emulator/machine.py
@@ -18,10 +18,8 @@
 from .virtual import VirtualLoop
 
 READ_BYTES = 256 * 1024  # of one read, the size of uvloop's buffer
-HIGH_WATER_BYTES, LOW_WATER_BYTES = (
-    64 * 1024,
-    16 * 1024,
-)  # write buffer sizes that pause and resume a protocol
+# Write buffer sizes that pause and resume a protocol.
+HIGH_WATER_BYTES, LOW_WATER_BYTES = 64 * 1024, 16 * 1024
 INITIAL_DESCRIPTORS = 12  # open when a process starts: standard streams, loop, signals
 SHUTDOWN_STEPS = 8  # iterations of a loop that ends, in which its tasks handle their cancellation
 
@@ -232,7 +230,7 @@
         self.accepting: dict[Listener, Callable] = {}
         self.events: dict[object, Callable[[], None]] = {}  # pending, in order of arrival
         self.events_scheduled = False  # `handle_events` is scheduled on the loop
-        self.wait_s: float | None = None
+        self.wait_s: float | None = None  # until the loop's next timer; None: it has none
         self._step_scheduled = False  # a step of the loop is already scheduled
         self._timer_at = float("inf")
         self._paused_until = 0.0
@@ -254,8 +252,8 @@
 
     def listen(self, address, backlog: int) -> Listener:
         """Open a listening socket whose connections are accepted by the loop's `add_reader`."""
-        found = super().listen(address, backlog, lambda: self.check_queue(found))
-        return found
+        listener = super().listen(address, backlog, lambda: self.check_queue(listener))
+        return listener
 
     # Steps of the loop.
 
--- a/emulator/network.py
+++ b/emulator/network.py
@@ -74,8 +74,8 @@
         """
         if address in self.network.listening:
             raise OSError(errno.EADDRINUSE, f"{address} is in use")
-        found = self.network.listening[address] = Listener(self, address, backlog, on_connection)
-        return found
+        listener = self.network.listening[address] = Listener(self, address, backlog, on_connection)
+        return listener
 
     def die(self, reset: bool = True) -> None:
         """End the process. Its connections are reset (or closed if `reset` is False), new ones refused."""
@@ -155,10 +155,8 @@
     )
 
     def __init__(self, machine: Machine, connection_id: int):
-        self.machine, self.connection_id = (
-            machine,
-            connection_id,
-        )  # connection number; negative on the accepting side
+        # The connection's number, negative on the accepting side.
+        self.machine, self.connection_id = machine, connection_id
         self.descriptor = -1
         self.peer: Socket | None = None
         self.receive_buffer = bytearray()
@@ -257,14 +255,14 @@
 
     def poll_events(self) -> int:
         """The events that `select.poll` would report."""
-        found = select.POLLIN if self.receive_buffer or self.eof_received or self.reset_received else 0
+        events = select.POLLIN if self.receive_buffer or self.eof_received or self.reset_received else 0
         if self.eof_received or self.reset_received:
-            found |= select.POLLRDHUP
+            events |= select.POLLRDHUP
         if self.reset_received:
-            found |= ERROR_EVENTS
+            events |= ERROR_EVENTS
         elif self.eof_received and self.sending_shut_down:
-            found |= select.POLLHUP
-        return found
+            events |= select.POLLHUP
+        return events
 
 
 RESET = b"\0reset"  # compared by identity, so no payload equals it
@@ -291,13 +289,13 @@
 
     def poll(self, timeout_ms: float) -> list[tuple[int, int]]:
         """Return the descriptors with events. Never waits."""
-        found = []
+        reported = []
         for descriptor, wanted_events in self._wanted_events.items():
             sock = self._files.get(descriptor)
             events = sock.poll_events() & wanted_events if sock is not None else select.POLLNVAL
             if events:
-                found.append((descriptor, events))
-        return found
+                reported.append((descriptor, events))
+        return reported
 
 
 class Network:
--- a/emulator/search.py
+++ b/emulator/search.py
@@ -130,9 +130,9 @@
             if time.monotonic() >= until:
                 return options, len(tried) - 1
             tried.add(candidate)
-            found = play(candidate)
-            if _breaks_rule(found, rule):
-                options, record, smaller = candidate, found, True
+            candidate_record = play(candidate)
+            if _breaks_rule(candidate_record, rule):
+                options, record, smaller = candidate, candidate_record, True
                 progress(
                     f"{len(tried) - 1} runs to reduce: {len(options.faults)} faults, {options.seconds:g} s"
                 )
--- a/emulator/servers.py
+++ b/emulator/servers.py
@@ -101,9 +101,8 @@
         if health is Health.DEAD:
             self._end_attempt()
             self.stream.abort()
-        elif (
-            self._attempt is not None
-        ):  # the gateway gives it up later, which a silent backend does not notice
+        elif self._attempt is not None:
+            # The gateway gives it up later, which a silent backend does not notice.
             self._server.world.accounts[self._request.client_try.customer].in_flight -= 1
             self._attempt = None
 
@@ -143,11 +142,11 @@
         request_id = REQUEST_ID.search(head)
         content = b"%b %b\n%b" % (method, target, body)
         peer = self.stream.sock.peer
-        found = world.record_attempt(request_id[1].decode() if request_id else "", content, server, peer)
-        if found is None:
+        recorded = world.record_attempt(request_id[1].decode() if request_id else "", content, server, peer)
+        if recorded is None:
             self._send_answer(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
             return
-        request, self._attempt = self._request, _ = found
+        request, self._attempt = self._request, _ = recorded
         informed = world.knows_start(peer.machine.name, server.backend)
         if server.backend.record_attempt(request.client_try.work_ms, informed):
             world.stop_overloaded_backend(server.backend)
@@ -277,14 +276,14 @@
             word, name, amount, ttl = line.decode().split(" ")
             if word != "add":
                 raise ValueError(word)
-            found = world.counter.add(name, float(amount), min(60_000.0, float(ttl)))
+            result = world.counter.add(name, float(amount), min(60_000.0, float(ttl)))
         except ValueError:
             world.checks.add_violation(now, "a call that the counter can't read", line.decode("latin-1"))
             return now, b"error\r\n"
-        if found is None:
+        if result is None:
             world.counter.unanswered += 1
             return now, b"busy\r\n"
-        return found[0], b"ok %.7g\r\n" % found[1]
+        return result[0], b"ok %.7g\r\n" % result[1]
 
     def _send_answer(self, answer: bytes) -> None:
         if not self._server.is_silent:
--- a/emulator/virtual.py
+++ b/emulator/virtual.py
@@ -39,7 +39,7 @@
 
     def wait(self, timeout_s: float | None) -> None:
         """Advance the clock by `timeout_s`, in which nothing is to do (None: nothing ever is)."""
-        assert timeout_s is not None, "nothing will ever happen"
+        assert timeout_s is not None, "the loop would wait forever: no timer is scheduled"
         self.now_s += timeout_s
 
     async def create_connection(self, factory, host=None, port=None, **options):
--- a/emulator/world.py
+++ b/emulator/world.py
@@ -62,14 +62,14 @@
         ):
             value = getattr(self, name)
             if not isinstance(value, int) or value < minimum:
-                raise ValueError(f"{name}: {value!r} is no whole number from {minimum}")
+                raise ValueError(f"{name}: {value!r} is not a whole number of at least {minimum}")
         if not self.seconds > 0.0:
             raise ValueError(f"seconds: {self.seconds!r} is not above 0")
         if self.hollow > self.gateways:
-            raise ValueError(f"hollow: {self.hollow} of {self.gateways} gateways")
+            raise ValueError(f"hollow: {self.hollow} is more than the {self.gateways} gateways")
         low, high = self.spread
         if not 1 <= low <= high:
-            raise ValueError(f"spread: {self.spread!r} is no range from 1")
+            raise ValueError(f"spread: {self.spread!r} is not a range of at least 1")
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,6 +107,8 @@
         self.servers: dict[str, BackendServer] = {}
         self.whole_gateways: list[WholeGateway] = []
         self.draining: set[str] = set()  # names of the backends that drain
+        # Late connections to backends (share, longest delay in ms), and the shares of failed ones and of
+        # requests whose clients disconnect.
         self.late_connects, self.failed_connect_share, self.disconnect_share = (0.0, 0.0), 0.0, 0.0
         self.probe_count = 0
         self.start_durations_ms: list[float] = []
@@ -118,9 +120,9 @@
 
     @cached_property
     def network(self) -> Network:
-        found = Network(self.clock, self.links, Random(self.options.seed + 3))
-        found.connect_delay_ms = self._connect_delay_ms
-        return found
+        network = Network(self.clock, self.links, Random(self.options.seed + 3))
+        network.connect_delay_ms = self._connect_delay_ms
+        return network
 
     @cached_property
     def _counter_server(self) -> CounterServer:
@@ -139,7 +141,7 @@
     def _schedule_faults(self) -> None:
         for fault in self.options.faults:
             rng = Random(f"{self.options.seed} {fault}")
-            self.clock.call_at(START_MS + fault.at_s * 1000.0, FAULTS[fault.kind].call, self, fault, rng)
+            self.clock.call_at(START_MS + fault.at_s * 1000.0, FAULTS[fault.kind].inject, self, fault, rng)
 
     # Backends, gateways and customers.
 
@@ -153,11 +155,11 @@
             return super()._create_gateway(number)
         zone = self.links.zones[number % self.options.zones]
         assert self._counter_server is not None  # created before the first gateway that calls it
-        found = WholeGateway(
+        gateway = WholeGateway(
             self, number, zone, self.gateway_settings(number, zone), self.rng.getrandbits(48)
         )
-        self.whole_gateways.append(found)
-        return found
+        self.whole_gateways.append(gateway)
+        return gateway
 
     def account_of(self, customer: int, plan: io.Plan) -> Account:
         if customer not in self.accounts and plan.ceiling_rate:
@@ -215,18 +217,22 @@
         """Record a complete request that reached a backend. Returns None if no client sent it."""
         now, gateway = self.clock.now, int(peer.machine.name.rpartition("-")[2])
         grace_ms = self.whole_gateways[gateway].settings.drain_grace_ms
-        found = self.checks.record_attempt(now, name, content, server.backend.name, gateway, peer, grace_ms)
-        if found is None:
+        recorded = self.checks.record_attempt(
+            now, name, content, server.backend.name, gateway, peer, grace_ms
+        )
+        if recorded is None:
             return None
-        request, attempt = found
+        request, attempt = recorded
         client_try, account = request.client_try, self.accounts[request.client_try.customer]
         self.record.attempts += 1
         if len(request.attempts) == 1:
-            self._first_attempt(client_try, account, request, attempt)
+            self._record_first_attempt(client_try, account, request, attempt)
         account.in_flight += 1
-        return found
+        return recorded
 
-    def _first_attempt(self, client_try, account: Account, request: SentRequest, attempt: Attempt) -> None:
+    def _record_first_attempt(
+        self, client_try, account: Account, request: SentRequest, attempt: Attempt
+    ) -> None:
         record, now = self.record, self.clock.now
         record.decided.record_value(max(1, int((attempt.sent_at - request.sent_at) * 1000.0)))
         if account.exceeds_ceiling(now, client_try.units):
@@ -279,14 +285,14 @@
                 while self.clock.now < end:
                     self.clock.run_until(min(end, self.clock.now + PROGRESS_INTERVAL_MS))
                     progress((self.clock.now - START_MS) / (end - START_MS))
-                found = self._collect_record()
+                record = self._collect_record()
         finally:
             for gateway in self.whole_gateways:
                 gateway.kill()
             gc.set_threshold(*gc_threshold)
             gc.unfreeze()  # gateways freeze long-lived objects, which are garbage after the run
             gc.collect()
-        return found
+        return record
 
     def _collect_record(self) -> Record:
         unanswered = sum(gateway.unanswered() for gateway in self.gateways[len(self.whole_gateways) :])
--- a/rosehitch/demo.py
+++ b/rosehitch/demo.py
@@ -124,7 +124,7 @@
             self._stack.push_async_callback(program.kill)
             self.programs.append(program)
 
-    async def ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until all gateways are ready. Raises StartError."""
         for program in self.programs:
             if await program.wait_until_ready(READY_TIMEOUT_S) is None:
@@ -217,7 +217,7 @@
         progress(f"starting {GATEWAY_COUNT} gateways and {BACKEND_COUNT} backends on loopback")
         try:
             await fleet.start()
-            if not await run_until_stopped(stop, fleet.ready()):
+            if not await run_until_stopped(stop, fleet.wait_until_ready()):
                 return state
         except (OSError, RuntimeError) as error:
             raise StartError(error) from None
--- a/rosehitch/rules.py
+++ b/rosehitch/rules.py
@@ -20,11 +20,11 @@
 
 SOCKET_TOLERANCE_S = 0.05  # added to every time limit of the settings on sockets
 CEILING_TOLERANCE_S = 0.15  # added tolerance of a ceiling on sockets, as the units of its rate in this time
-LATE_ANSWER_S = 0.5  # past a request's deadline; an answer after that counts as missing
+LATE_ANSWER_S = 0.5  # how long past its deadline a request's answer may come
 # The end of a connection may be observed this much later than data sent after it on another connection.
 OBSERVATION_DELAY_S = 0.05
 MAX_BEYOND_QUOTA_SHARE = 0.1  # of the units sent; quotas shared by all gateways are not enforced exactly
-MAX_REFUSED_INSIDE_SHARE = 0.1  # of the requests
+MAX_REFUSED_INSIDE_SHARE = 0.1  # of the requests, refused for a quota though the customer is inside it
 INSIDE_LEVEL_SHARE = 0.5  # of a bucket: a customer with this much left is inside its quota
 QUOTA_EXCEEDED_STATUS = 429  # status of a refusal for a quota
 REFUSAL_STATUSES = (QUOTA_EXCEEDED_STATUS, 503)
@@ -86,9 +86,8 @@
         self._requests: dict[str, Request] = {}
         self._leaving_since: dict[str, float] = {}
         self._limit_excesses: list[tuple[float, str, str]] = []  # seconds over a time limit, rule, example
-        self._overlaps: list[
-            tuple[Attempt, Attempt]
-        ] = []  # an attempt, and another that arrived while it was open
+        # An attempt, and another of its request that arrived while it was open.
+        self._overlaps: list[tuple[Attempt, Attempt]] = []
         self._ceiling_buckets: dict[str, TokenBucket] = {}
         self._quota_buckets: dict[str, TokenBucket] = {}
         self.units_sent: Counter[str] = Counter()  # sent to backends, by plan
@@ -104,17 +103,15 @@
         """A request ended; status 0 means that its connection ended without a complete answer."""
         request = self._requests[name]
         if not status:
-            self.add_violation(ONE_ANSWER_RULE, f"{name} got none: its connection ended")
+            self.add_violation(ONE_ANSWER_RULE, f"{name} got no answer: its connection ended")
         elif status == 200 and body != request.body:
-            self.add_violation(ONE_ANSWER_RULE, f"{name} was served what no backend made for it")
+            self.add_violation(ONE_ANSWER_RULE, f"{name} was served a body that no backend sent for it")
         elif (
             status in REFUSAL_STATUSES
             and not request.safe
             and any(attempt.may_have_run for attempt in request.attempts)
         ):
-            self.add_violation(
-                UNSAFE_ONCE_RULE, f"{name} was refused as harmless to repeat, and may have run"
-            )
+            self.add_violation(UNSAFE_ONCE_RULE, f"{name} was refused though it may have run")
         if status == QUOTA_EXCEEDED_STATUS:
             self._count_quota_refusal(request, at)
         request.answered = True
@@ -129,14 +126,14 @@
     def record_unsolicited(self, count: int) -> None:
         """`count` answers arrived that belong to no request."""
         if count:
-            self.add_violation(ONE_ANSWER_RULE, f"{count} came with no request out")
+            self.add_violation(ONE_ANSWER_RULE, f"{count} answers arrived without an open request")
 
     def record_attempt(self, name: str, backend: str, began_at: float, at: float) -> Attempt:
         """An attempt reached a backend: its first byte at `began_at`, its last byte at `at`."""
         attempt = Attempt(name, backend, at)
         request = self._requests.get(name)
         if request is None:
-            self.add_violation(ONE_ANSWER_RULE, f"{name} at {backend}: nobody asked for it")
+            self.add_violation(ONE_ANSWER_RULE, f"{name} at {backend}: no client sent it")
             return attempt
         if not request.attempts:
             self._charge(request, name, at)
@@ -180,7 +177,7 @@
         """
         for name, request in self._requests.items():
             if not request.answered and at > request.deadline + LATE_ANSWER_S + lateness_s:
-                self.add_violation(ONE_ANSWER_RULE, f"{name} got none")
+                self.add_violation(ONE_ANSWER_RULE, f"{name} got no answer")
         for excess_s, rule, example in self._limit_excesses:
             if excess_s > lateness_s:
                 self.add_violation(rule, f"{example}, {excess_s:.3f} s over the limit")
@@ -192,7 +189,8 @@
         refused = sum(self.refused_inside_quota.values())
         if refused > MAX_REFUSED_INSIDE_SHARE * len(self._requests):
             self.add_violation(
-                WITHIN_QUOTA_RULE, f"{refused} of {len(self._requests)} requests with half of the store left"
+                WITHIN_QUOTA_RULE,
+                f"{refused} of {len(self._requests)} requests refused with half of the quota left",
             )
         for earlier, attempt in self._overlaps:
             if (
--- a/rosehitch/soak.py
+++ b/rosehitch/soak.py
@@ -70,7 +70,9 @@
         statuses = ", ".join(f"{count} by {status}" for status, count in sorted(self.responses.items()))
         text = f"seed {self.seed}: {self.requests} requests, {statuses}; {self.resent} sent again, "
         text += f"{self.restarts} restarts, {self.refused_inside_quota} refused inside their quotas; "
-        broken = "; ".join(f"broken: {rule}, {n} times: {first}" for rule, (n, first) in self.broken.items())
+        broken = "; ".join(
+            f"broken: {rule}, {n} times: {example}" for rule, (n, example) in self.broken.items()
+        )
         return text + (broken or "all rules kept")
 
 
@@ -99,9 +101,9 @@
     def send_request(self, text: bytes, done: Request) -> bool:
         """Send a request on an idle connection. Returns False if there is none."""
         while self.idle:
-            caller = self.idle.pop()
-            if not caller.transport.is_closing():
-                caller.send_request(text, done)
+            connection = self.idle.pop()
+            if not connection.transport.is_closing():
+                connection.send_request(text, done)
                 return True
         return False
 
@@ -257,28 +259,30 @@
 
     async def _signal(self, gateway: int) -> None:
         """Send a sequence of signals to a gateway, and restart it if one of them is SIGTERM."""
-        program, connections, term_at = self._programs[gateway], self._connections[gateway], None
-        idle = self._open_idle_connections(program.address) if self._crowded else []
+        program, connections, sigterm_at = self._programs[gateway], self._connections[gateway], None
+        idle_sockets = self._open_idle_connections(program.address) if self._crowded else []
         for signal_number in self.random.choice(SIGNAL_SEQUENCES):
             if program.process.returncode is None:
                 program.process.send_signal(signal_number)
-            if signal_number is signal.SIGTERM and term_at is None:
-                term_at = time.monotonic()
-                self._closing_at[gateway] = term_at + NEW_CONNECTIONS_S
+            if signal_number is signal.SIGTERM and sigterm_at is None:
+                sigterm_at = time.monotonic()
+                self._closing_at[gateway] = sigterm_at + NEW_CONNECTIONS_S
             await asyncio.sleep(self.random.uniform(0.0, SIGNAL_GAP_S))
-        if term_at is not None:
-            await self._wait_for_end(gateway, program, term_at)
+        if sigterm_at is not None:
+            await self._wait_for_end(gateway, program, sigterm_at)
             self._connections[gateway] = None
             await asyncio.sleep(0.05)  # lets clients notice the end of their connections
             connections.close()
             self.report.restarts += 1
             await self._start(gateway)
-        for sock in idle:
+        for sock in idle_sockets:
             sock.close()
 
-    async def _wait_for_end(self, gateway: int, program: Program, term_at: float) -> None:
+    async def _wait_for_end(self, gateway: int, program: Program, sigterm_at: float) -> None:
         """Wait until a gateway has ended, and kill it after the time allowed for draining."""
-        remaining_s = term_at + min(self.deadline_s, MAX_DRAIN_DEADLINE_S) + KILL_DELAY_S - time.monotonic()
+        remaining_s = (
+            sigterm_at + min(self.deadline_s, MAX_DRAIN_DEADLINE_S) + KILL_DELAY_S - time.monotonic()
+        )
         try:
             code = await asyncio.wait_for(program.process.wait(), remaining_s)
             if code != 0:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -41,7 +41,7 @@
         "import json, emulator; from tests.test_emulator import MANY_FAULTS; r = emulator.play(MANY_FAULTS);"
         "print(json.dumps([r.digest, r.figures, r.broken, r.errors]))"
     )
-    found = [
+    outputs = [
         subprocess.run(
             [sys.executable, "-c", command],
             env={**os.environ, "PYTHONHASHSEED": seed},
@@ -52,8 +52,8 @@
         ).stdout
         for seed in ("1", "2")
     ]
-    assert found[0] == found[1]
-    _, figures, broken, errors = json.loads(found[0])
+    assert outputs[0] == outputs[1]
+    _, figures, broken, errors = json.loads(outputs[0])
     assert broken == {} and errors == []
     assert figures["served"] > 500 and figures["left"] > 10
 
@@ -108,9 +108,9 @@
         monkeypatch.setattr(owner, name, replacement)
     # A request whose client has left is sent again only if an attempt fails.
     further_faults = (Fault("reset", 0.0, 9.0, 0.5),) if fault.kind == "leavers" else ()
-    found = emulator.play(Options(gateways=2, backends=4, seconds=6.0, faults=(fault, *further_faults)))
-    assert found.broken[rule] > 0
-    assert any(rule == example[1] for example in found.examples)
+    record = emulator.play(Options(gateways=2, backends=4, seconds=6.0, faults=(fault, *further_faults)))
+    assert record.broken[rule] > 0
+    assert any(rule == example[1] for example in record.examples)
 
 
 class ObservedRequest(Checks):
@@ -123,10 +123,10 @@
         )
         self.record_request(self.request)
 
-    def attempt(self, at_ms, send_closed_at=float("inf"), text=b"GET /\n", name="a", backend="b"):
+    def attempt(self, at_ms, send_closed_at=float("inf"), content=b"GET /\n", name="a", backend="b"):
         peer = SimpleNamespace(sent_at=at_ms, send_closed_at=send_closed_at)
-        found = self.record_attempt(at_ms + 1.0, name, text, backend, 0, peer, 2000.0)
-        return found and found[1]
+        recorded = self.record_attempt(at_ms + 1.0, name, content, backend, 0, peer, 2000.0)
+        return recorded and recorded[1]
 
     def response(self, at_ms, status=200, body=b"made"):
         return self.record_response(at_ms + 1.0, self.request, status, body, at_ms)
@@ -176,7 +176,7 @@
             lambda checks: (checks.record_backend_change(0, "b", True, 100.0), checks.attempt(2151.0)),
         ),
         ("sent on what no client asked", lambda checks: checks.attempt(10.0, name="x")),
-        ("passed on changed", lambda checks: checks.attempt(10.0, text=b"GET /?\n")),
+        ("passed on changed", lambda checks: checks.attempt(10.0, content=b"GET /?\n")),
     ],
 )
 def test_each_violation_is_counted_once(rule, events):
