--- a/emulator/gateway.py
+++ b/emulator/gateway.py
@@ -1,4 +1,4 @@
-"""A whole gateway: `elderhub.host.Host` on an in-memory machine, with successive processes at one address."""
+"""A gateway with its network code: `elderhub.host.Host` in successive processes on an in-memory machine."""
 
 from __future__ import annotations
 
--- a/emulator/machine.py
+++ b/emulator/machine.py
@@ -71,6 +71,7 @@
         return transport, protocol
 
     def add_reader(self, listener: Listener, call: Callable, *args) -> None:
+        """Call `call` for each connection in the queue of a listening socket."""
         self._machine.accepting[listener] = call
         self._machine.check_queue(listener)
 
--- a/emulator/network.py
+++ b/emulator/network.py
@@ -119,6 +119,7 @@
         return self.queue.popleft(), ("client", 0)
 
     def close(self) -> None:
+        """Stop listening and reset the connections that were not accepted."""
         if self._descriptor < 0:
             return
         del self.machine.files[self._descriptor], self.machine.network.listening[self.address]
--- a/emulator/world.py
+++ b/emulator/world.py
@@ -1,4 +1,7 @@
-"""A simulated world of whole gateways, and hollow ones if wanted, with their clients and servers."""
+"""The emulated world: gateways, their clients and servers, and the options and record of a run.
+
+Whole gateways include the network code; hollow ones, as in `scale`, are the decision module alone.
+"""
 
 from __future__ import annotations
 
@@ -96,7 +99,7 @@
 
 
 class World(scale.world.World):
-    """A `scale.world.World` whose gateways are whole, except for the last `hollow` ones."""
+    """A `scale.world.World` whose gateways include the network code, except for the last `hollow` ones."""
 
     options: Options
 
@@ -120,6 +123,7 @@
 
     @cached_property
     def network(self) -> Network:
+        """The network between all machines."""
         network = Network(self.clock, self.links, Random(self.options.seed + 3))
         network.connect_delay_ms = self._connect_delay_ms
         return network
@@ -162,6 +166,7 @@
         return gateway
 
     def account_of(self, customer: int, plan: io.Plan) -> Account:
+        """The account of a customer, with the tolerance that a ceiling has on sockets."""
         if customer not in self.accounts and plan.ceiling_rate:
             plan = replace(
                 plan, ceiling_tolerance=plan.ceiling_tolerance + CEILING_TOLERANCE_S * plan.ceiling_rate
