--- a/scale/clients.py
+++ b/scale/clients.py
@@ -285,7 +285,7 @@
             self._first[t.customer],
             self._spread[t.customer],
         )
-        if not w.gateways[gateway].take(t, event):
+        if not w.gateways[gateway].handle_request(t, event):
             self.handle_outcome(t, "unreachable")
 
     def _front(self, customer: int, gateway: int) -> int:
@@ -294,13 +294,13 @@
         first, spread, count = self._first[customer], self._spread[customer], w.options.gateways
         for turn in range(spread):
             found = (first + (gateway - first + turn) % count % spread) % count
-            if w.gateways[found].died > w.clock.now - NOTICE_MS:
+            if w.gateways[found].died_at > w.clock.now - NOTICE_MS:
                 return found
         return gateway
 
     def _go_away(self, t: Try) -> None:
         if not t.done:
-            self._world.gateways[t.gateway].leave(t)
+            self._world.gateways[t.gateway].client_disconnected(t)
             self._world.record.abandoned += 1
 
     def handle_outcome(self, t: Try, how: str, retry_after_ms: float = 0.0) -> None:
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -26,8 +26,8 @@
 
     __slots__ = ("sequence", "client_try", "number", "backend", "pool", "life", "sent", "over", "lost")
 
-    def __init__(self, order: int, trying: Try, number: int, pool: Pool, sent: float):
-        self.sequence, self.client_try, self.number, self.sent = order, trying, number, sent
+    def __init__(self, order: int, client_try: Try, number: int, pool: Pool, sent: float):
+        self.sequence, self.client_try, self.number, self.sent = order, client_try, number, sent
         self.pool, self.backend, self.life = pool, pool.backend, -1  # -1: no connection yet
         self.over = self.lost = False
 
@@ -38,7 +38,7 @@
     def __init__(self, world, number: int, zone: str, settings: io.Settings, seed: int, module=Gateway):
         self.world, self.number, self.zone = world, number, zone
         self.settings, self.dead = settings, False
-        self.died = math.inf  # when
+        self.died_at = math.inf  # when
         self._module = module(settings, seed)
         self._open: dict[str, Try] = {}
         self._pools: dict[str, Pool] = {}
@@ -72,7 +72,7 @@
         for action in self._module.handle(self.world.clock.now, event):
             self._do[type(action)](action)
 
-    def take(self, t: Try, event: io.RequestArrived) -> bool:
+    def handle_request(self, t: Try, event: io.RequestArrived) -> bool:
         """A request has come; False where the gateway does not run."""
         if self.dead:
             return False
@@ -80,13 +80,13 @@
         self.put(event)
         return True
 
-    def leave(self, t: Try) -> None:
+    def client_disconnected(self, t: Try) -> None:
         """The client has gone."""
         if self._open.pop(t.request, None) is not None:
             t.done = True
             self.put(io.ClientDisconnected(t.request))
 
-    def listed(self, event: io.BackendsChanged) -> None:
+    def backends_changed(self, event: io.BackendsChanged) -> None:
         now = self.world.clock.now
         named = {entry.id for entry in event.backends}
         if event.kind is not io.ListKind.DELTA:
@@ -349,7 +349,7 @@
     def kill(self) -> None:
         """The process dies: its connections are reset, and its requests lost, unless clients come again."""
         now = self.world.clock.now
-        self.dead, self.died = True, now
+        self.dead, self.died_at = True, now
         for attempt in list(self._attempts.values()):
             self._ended(attempt, io.Outcome.RESET)
         for pool in self._pools.values():
