--- a/cobaltline/adapter.py
+++ b/cobaltline/adapter.py
@@ -1,4 +1,8 @@
-"""Wire 'cypress-2c74' to `cobaltline.interface` and back: a codec and a loop, nothing decided here."""
+"""Adapter between the simulator's line protocol 'cypress-2c74' and `cobaltline.interface`.
+
+Reads batches of events from standard input, passes them to the gateways that the simulator has started, and
+writes the actions to standard output. It makes no decisions. Run it as `python -m cobaltline.adapter`.
+"""
 
 from __future__ import annotations
 
@@ -10,6 +14,7 @@
 from . import interface as io
 from .gateway import Gateway
 
+# Result codes of attempts, probes and counter calls.
 OUTCOMES = {
     0: io.Outcome.OK,
     13: io.Outcome.ERROR,
@@ -20,14 +25,19 @@
     1: io.Outcome.CANCELLED,
     9: io.Outcome.NOT_SENT,
 }
-LISTS = {
+LIST_KINDS = {
     "Partial": io.ListKind.DELTA,
     "Complete": io.ListKind.COMPLETE,
     "Persisted": io.ListKind.CACHED,
     "Error": io.ListKind.FAILED,
 }
-STATES = {"up": io.BackendState.UP, "draining": io.BackendState.DRAINING, "removed": io.BackendState.REMOVED}
+BACKEND_STATES = {
+    "up": io.BackendState.UP,
+    "draining": io.BackendState.DRAINING,
+    "removed": io.BackendState.REMOVED,
+}
 
+# Keys of the settings, by the fields of the dataclasses that they are stored in.
 CLASS_KEYS = {
     "promiseMs": "target_latency_ms",
     "giveUpMs": "timeout_ms",
@@ -49,7 +59,7 @@
     "overrunCost": "overrun_cost",
     "price": "price",
 }
-SETTING_KEYS = {
+SETTING_KEYS = {  # by section; "" is the top level
     "": {
         "me": "node_id",
         "instances": "gateways",
@@ -95,33 +105,40 @@
 
 
 class MalformedInput(Exception):
-    """A line that the wire does not allow."""
+    """The input violates the line protocol, or a setting is invalid; the message names the field."""
+
 
+def _read_fields(target, source, keys, path_prefix=""):
+    """Copies the known keys of `source` to the attributes of `target` and returns `target`.
 
-def _fill(target, source, keys, where=""):
-    """`where`: the path of `source` in the settings, for an error."""
+    `keys` maps keys to attributes; values are converted to the type of the attribute's default. `path_prefix`
+    is the path of `source` in the settings, for error messages. Raises MalformedInput for an invalid value.
+    """
     if not isinstance(source, dict):
         return target
-    for theirs, ours in keys.items():
-        value = source.get(theirs)
+    for setting, attribute in keys.items():
+        value = source.get(setting)
         if value is None:
             continue
-        want = type(getattr(target, ours))
-        if want in (int, float, bool) and not isinstance(value, (int, float)):
-            raise MalformedInput(f"{where}{theirs}: {value!r} is not a number")
+        expected_type = type(getattr(target, attribute))
+        if expected_type in (int, float, bool) and not isinstance(value, (int, float)):
+            raise MalformedInput(f"{path_prefix}{setting}: {value!r} is not a number")
         try:
-            setattr(target, ours, want(value))
-        except (ValueError, OverflowError):  # NaN and infinity, which JSON's reader takes
-            raise MalformedInput(f"{where}{theirs}: {value!r} is not a whole number") from None
+            setattr(target, attribute, expected_type(value))
+        except (ValueError, OverflowError):  # json.loads accepts NaN and Infinity
+            raise MalformedInput(f"{path_prefix}{setting}: {value!r} is not a whole number") from None
     return target
 
 
-def _items(info, key):
-    """Entries with their paths."""
-    found = info.get(key) or []
-    if not isinstance(found, list):
-        raise MalformedInput(f"{key}: {found!r:.60} is not a list of named objects")
-    for i, entry in enumerate(found):
+def _named_entries(config, key):
+    """Yields the path prefix and the content of each entry of the list at `key`.
+
+    Raises MalformedInput unless the value is a list of objects with a name.
+    """
+    entries = config.get(key) or []
+    if not isinstance(entries, list):
+        raise MalformedInput(f"{key}: {entries!r:.60} is not a list of named objects")
+    for i, entry in enumerate(entries):
         if not isinstance(entry, dict):
             raise MalformedInput(f"{key}[{i}]: {entry!r:.60} is not an object")
         if not entry.get("name") or isinstance(entry["name"], (dict, list)):
@@ -129,176 +146,195 @@
         yield f"{key}[{i}].", entry
 
 
-def _repeat(entry, where):
+def _parse_idempotency(entry, path_prefix):
+    """Returns the idempotency of a request class; unknown or missing values mean UNSAFE."""
     text = entry.get("idempotency")
     if isinstance(text, (dict, list)):
         raise MalformedInput(
-            f"{where}idempotency: {text!r} is not one of {', '.join(k.value for k in io.Idempotency)}"
+            f"{path_prefix}idempotency: {text!r} is not one of {', '.join(k.value for k in io.Idempotency)}"
         )
     return {k.value: k for k in io.Idempotency}.get(text, io.Idempotency.UNSAFE)
 
 
-def parse_settings(info: dict) -> io.Settings:
-    """The settings of a `SPAWN`; keys that are unknown are passed over. Raises Malformed, which names the
-    field by its path in the settings."""
-    out = io.Settings()
+def parse_settings(config: dict) -> io.Settings:
+    """Converts the JSON settings of a gateway; unknown keys are ignored.
+
+    Raises MalformedInput, which names the field by its path in the settings.
+    """
+    settings = io.Settings()
     for section, keys in SETTING_KEYS.items():
-        _fill(out, info.get(section) if section else info, keys, section and f"{section}.")
-    out.must_poll = info.get("discovery") == "ask"
-    report = info.get("report") or {}
+        _read_fields(settings, config.get(section) if section else config, keys, section and f"{section}.")
+    settings.must_poll = config.get("discovery") == "ask"
+    report = config.get("report") or {}
     if not isinstance(report, dict):
         raise MalformedInput(f"report: {report!r:.60} is not an object")
     source, columns = report.get("source", "off"), report.get("columns") or ()
     try:
-        out.load_report_fields = tuple(columns) if source != "off" else ()
+        settings.load_report_fields = tuple(columns) if source != "off" else ()
     except TypeError:
         raise MalformedInput(f"report.columns: {columns!r} is not a list of names") from None
-    out.has_inline_load_reports = source == "inline"
-    for where, entry in _items(info, "classes"):
-        cls = _fill(io.RequestClass(name=entry["name"]), entry, CLASS_KEYS, where)
-        cls.idempotency = _repeat(entry, where)
-        out.classes[cls.name] = cls
-    for where, entry in _items(info, "plans"):
-        out.plans[entry["name"]] = _fill(io.Plan(name=entry["name"]), entry, PLAN_KEYS, where)
-    return out
+    settings.has_inline_load_reports = source == "inline"
+    for path_prefix, entry in _named_entries(config, "classes"):
+        cls = _read_fields(io.RequestClass(name=entry["name"]), entry, CLASS_KEYS, path_prefix)
+        cls.idempotency = _parse_idempotency(entry, path_prefix)
+        settings.classes[cls.name] = cls
+    for path_prefix, entry in _named_entries(config, "plans"):
+        settings.plans[entry["name"]] = _read_fields(
+            io.Plan(name=entry["name"]), entry, PLAN_KEYS, path_prefix
+        )
+    return settings
 
 
-def _report(text):
+def _parse_load_report(text):
+    """Parses `name:value,...`; "-" means that there is no report."""
     if text == "-":
         return None
-    out = {}
+    report = {}
     for pair in text.split(","):
         name, _, value = pair.partition(":")
-        out[name] = float(value)
-    return out
+        report[name] = float(value)
+    return report
 
 
-def _num(text, default=0.0):
+def _parse_float(text, default=0.0):
     return default if text == "-" else float(text)
 
 
-def _int(text, default=0):
+def _parse_int(text, default=0):
     return default if text == "-" else int(text)
 
 
-def _outcome(text):
-    code = _int(text, -1)
+def _parse_outcome(text):
+    code = _parse_int(text, -1)
     if code not in OUTCOMES:
-        raise MalformedInput(f"unknown result {text}")
+        raise MalformedInput(f"unknown result code {text!r} (allowed: {sorted(OUTCOMES)})")
     return OUTCOMES[code]
 
 
-def _request(f):
-    marks = _int(f[4])
+def _parse_request(fields):
+    flags = _parse_int(fields[4])
     return io.RequestArrived(
-        request=f[1],
-        customer=f[9],
-        plan=f[8],
-        kind=f[5],
-        deadline_ms=float(f[6]),
-        units=_num(f[3], 1.0),
-        first_gateway=_int(f[2]),
-        spread=_int(f[7], 1),
-        is_retry=bool(marks & 2),
-        is_write=bool(marks & 4),
+        request=fields[1],
+        customer=fields[9],
+        plan=fields[8],
+        kind=fields[5],
+        deadline_ms=float(fields[6]),
+        units=_parse_float(fields[3], 1.0),
+        first_gateway=_parse_int(fields[2]),
+        spread=_parse_int(fields[7], 1),
+        is_retry=bool(flags & 2),
+        is_write=bool(flags & 4),
     )
 
 
-def _done(f):
-    use = _int(f[6])
-    settled = _num(f[7])
+def _parse_attempt_ended(fields):
+    utilization = _parse_int(fields[6])
+    settled = _parse_float(fields[7])
     return io.AttemptEnded(
-        request=f[1],
-        attempt=int(f[3]),
-        backend=f[8],
-        outcome=_outcome(f[2]),
-        final=f[4] == "1",
-        elapsed_ms=_num(f[5]),
-        utilization_percent=use - 1 if use else None,
+        request=fields[1],
+        attempt=int(fields[3]),
+        backend=fields[8],
+        outcome=_parse_outcome(fields[2]),
+        final=fields[4] == "1",
+        elapsed_ms=_parse_float(fields[5]),
+        utilization_percent=utilization - 1 if utilization else None,
         settled_units=settled or None,
-        report=_report(f[9]),
+        report=_parse_load_report(fields[9]),
     )
 
 
-def _probed(f):
-    return io.ProbeResult(backend=f[1], outcome=_outcome(f[2]), elapsed_ms=_num(f[3]), report=_report(f[4]))
+def _parse_probe_result(fields):
+    return io.ProbeResult(
+        backend=fields[1],
+        outcome=_parse_outcome(fields[2]),
+        elapsed_ms=_parse_float(fields[3]),
+        report=_parse_load_report(fields[4]),
+    )
 
 
-def _sum(f):
-    return io.CounterResult(name=f[1], outcome=_outcome(f[2]), total=_num(f[3]), elapsed_ms=_num(f[4]))
+def _parse_counter_result(fields):
+    return io.CounterResult(
+        name=fields[1],
+        outcome=_parse_outcome(fields[2]),
+        total=_parse_float(fields[3]),
+        elapsed_ms=_parse_float(fields[4]),
+    )
 
 
-def _peer(f):
-    payload = b"" if f[2] == "-" else base64.b64decode(f[2], validate=True)
-    return io.PeerMessage(sender=int(f[1]), payload=payload)
+def _parse_peer_message(fields):
+    payload = b"" if fields[2] == "-" else base64.b64decode(fields[2], validate=True)
+    return io.PeerMessage(sender=int(fields[1]), payload=payload)
 
 
-def _first(f):
-    return io.StreamStarted(request=f[1], elapsed_ms=_num(f[2]), backend=f[3], attempt=int(f[4]))
+def _parse_stream_started(fields):
+    return io.StreamStarted(
+        request=fields[1], elapsed_ms=_parse_float(fields[2]), backend=fields[3], attempt=int(fields[4])
+    )
 
 
-EVENTS = {  # name: (fields after the name, parser)
-    "REQUEST": (10, _request),
-    "DONE": (10, _done),
-    "SUM": (5, _sum),
-    "ALARM": (2, lambda f: io.TimerFired(token=f[1])),
-    "CLIENT_LEFT": (2, lambda f: io.ClientDisconnected(request=f[1])),
-    "FIRST": (5, _first),
-    "STATUS_BACK": (5, _probed),
-    "NEIGHBOUR_SAYS": (3, _peer),
+EVENTS = {  # name: (number of fields after the name, parser of these fields)
+    "REQUEST": (10, _parse_request),
+    "DONE": (10, _parse_attempt_ended),
+    "SUM": (5, _parse_counter_result),
+    "ALARM": (2, lambda fields: io.TimerFired(token=fields[1])),
+    "CLIENT_LEFT": (2, lambda fields: io.ClientDisconnected(request=fields[1])),
+    "FIRST": (5, _parse_stream_started),
+    "STATUS_BACK": (5, _parse_probe_result),
+    "NEIGHBOUR_SAYS": (3, _parse_peer_message),
 }
 
 
-def parse_item(line: str) -> io.Backend:
-    f = line.split(" ")
-    if len(f) != 8 or f[0] != "ITEM":
-        raise MalformedInput("expected an ITEM with 7 fields")
-    if f[5] not in STATES:
-        raise MalformedInput(f"unknown status {f[5]}")
+def parse_backend(line: str) -> io.Backend:
+    """Parses an `ITEM` line. Raises MalformedInput, or ValueError for a field that is not a number."""
+    fields = line.split(" ")
+    if len(fields) != 8 or fields[0] != "ITEM":
+        raise MalformedInput(f"expected ITEM with 7 fields, not {line!r:.80}")
+    if fields[5] not in BACKEND_STATES:
+        raise MalformedInput(f"unknown backend state {fields[5]!r} (allowed: {', '.join(BACKEND_STATES)})")
     return io.Backend(
-        id=f[1],
-        zone=f[2],
-        kind=f[3],
-        cell=_int(f[4]),
-        state=STATES[f[5]],
-        weight=_num(f[6], 1.0),
-        started_ms=_num(f[7]),
+        id=fields[1],
+        zone=fields[2],
+        kind=fields[3],
+        cell=_parse_int(fields[4]),
+        state=BACKEND_STATES[fields[5]],
+        weight=_parse_float(fields[6], 1.0),
+        started_ms=_parse_float(fields[7]),
     )
 
 
-def _ms(value):
+def _format_ms(value):
     return f"{max(0.0, value):.3f}"
 
 
-def encode(who: str, action) -> str:
-    """One action as a line of the wire."""
+def encode(gateway_name: str, action) -> str:
+    """Returns an action as a line of the protocol, without its line end."""
     kind = type(action)
     if kind is io.Send:
-        return f"FORWARD {who} {action.request} {_ms(action.deadline_ms)} {action.backend}"
+        return f"FORWARD {gateway_name} {action.request} {_format_ms(action.deadline_ms)} {action.backend}"
     if kind is io.SetTimer:
-        return f"WAKE_AT {who} {_ms(action.delay_ms)} {action.token}"
+        return f"WAKE_AT {gateway_name} {_format_ms(action.delay_ms)} {action.token}"
     if kind is io.CounterAdd:
-        return f"ADD {who} {_ms(action.ttl_ms)} {action.amount:.7g} {action.name}"
+        return f"ADD {gateway_name} {_format_ms(action.ttl_ms)} {action.amount:.7g} {action.name}"
     if kind is io.Reject:
-        return f"BUSY {who} {action.request} {_ms(action.retry_after_ms)}"
+        return f"BUSY {gateway_name} {action.request} {_format_ms(action.retry_after_ms)}"
     if kind is io.Fail:
-        return f"FINISH_ERROR {who} {action.request}"
+        return f"FINISH_ERROR {gateway_name} {action.request}"
     if kind is io.Cancel:
-        return f"UNDO_SEND {who} {action.request} {action.attempt}"
+        return f"UNDO_SEND {gateway_name} {action.request} {action.attempt}"
     if kind is io.SendPeerMessage:
         to = "all" if action.to is None else action.to
-        return f"NOTIFY {who} {to} {base64.b64encode(action.payload).decode() or '-'}"
+        return f"NOTIFY {gateway_name} {to} {base64.b64encode(action.payload).decode() or '-'}"
     if kind is io.Probe:
-        return f"ASK_LOAD {who} {action.backend}"
+        return f"ASK_LOAD {gateway_name} {action.backend}"
     if kind is io.CloseIdle:
-        return f"CLOSE {who} {action.backend}"
+        return f"CLOSE {gateway_name} {action.backend}"
     if kind is io.Subscribe:
-        return f"OBSERVE {who} {int(action.on)}"
+        return f"OBSERVE {gateway_name} {int(action.on)}"
     if kind is io.Fetch:
-        return f"PULL {who}"
+        return f"PULL {gateway_name}"
     if kind is io.Log:
-        return f"LOG {who} {_one_line(action.text)}"
-    raise TypeError(f"no such action: {action!r}")
+        return f"LOG {gateway_name} {_one_line(action.text)}"
+    raise TypeError(f"unknown action {action!r}")
 
 
 def _one_line(text):
@@ -306,54 +342,62 @@
 
 
 class Host:
-    """Reads batches, drives the instances, writes replies."""
+    """Runs any number of gateways on one input and one output.
+
+    `lines` is an iterable of lines, as bytes or text; `out` is a text stream, flushed after each batch.
+    """
 
     def __init__(self, lines, out):
         self._lines = iter(lines)
         self._out = out
         self._gateways: dict[str, Gateway] = {}
-        self.line_no = 0
+        self.line_number = 0  # of the line read last, from 1
 
-    def _next(self):
+    def _next_line(self):
+        """Returns the next line without its line end, or None at the end of the input."""
         raw = next(self._lines, None)
         if raw is None:
             return None
-        self.line_no += 1
+        self.line_number += 1
         try:
             text = raw.decode("utf-8") if isinstance(raw, bytes) else raw
         except UnicodeDecodeError:
-            raise MalformedInput("not UTF-8 text") from None
+            raise MalformedInput("the line is not valid UTF-8") from None
         if not text.endswith("\n"):
             raise MalformedInput("the input ends inside a line")
         return text[:-1]
 
     def run(self):
-        while (line := self._next()) is not None:
+        """Processes batches until the input ends. Raises MalformedInput at the first invalid line."""
+        while (line := self._next_line()) is not None:
             if not line:
                 continue
-            f = line.split(" ")
-            if f[0] != "FRAME" or len(f) != 3:
-                raise MalformedInput("expected FRAME with a clock and a number")
+            fields = line.split(" ")
+            if fields[0] != "FRAME" or len(fields) != 3:
+                raise MalformedInput(f"expected FRAME with a time and a batch number, not {line!r:.80}")
             try:
-                now = float(f[1])
-                int(f[2])
+                now = float(fields[1])
+                int(fields[2])
             except ValueError:
-                raise MalformedInput("FRAME takes a clock and a number") from None
+                raise MalformedInput(
+                    f"FRAME takes a time in ms and a batch number, not {line!r:.80}"
+                ) from None
             reply = []
-            self._batch(now, reply)
-            reply.append(f"END {f[2]}\n")
+            self._process_batch(now, reply)
+            reply.append(f"END {fields[2]}\n")
             self._out.write("\n".join(reply))
             self._out.flush()
 
-    def _batch(self, now, reply):
-        while (line := self._next()) != "COMMIT":
+    def _process_batch(self, now, reply):
+        """Handles all events up to `COMMIT` and appends the resulting lines to `reply`."""
+        while (line := self._next_line()) != "COMMIT":
             if line is None:
                 raise MalformedInput("the input ends inside a batch")
             name, _, rest = line.partition(" ")
             if name == "ROSTER_CHANGE":
-                self._roster(now, rest, reply)
+                self._process_backend_list(now, rest, reply)
             elif name == "SPAWN":
-                self._spawn(rest, reply)
+                self._start_gateway(rest, reply)
             elif name == "EXIT":
                 self._gateways.pop(rest, None)
             elif name in EVENTS:
@@ -365,61 +409,68 @@
                     event = parse(fields)
                 except ValueError as error:
                     raise MalformedInput(f"{name}: {error}") from None
-                self._handle(fields[0], now, event, reply)
+                self._handle_event(fields[0], now, event, reply)
             elif not name.replace("_", "").isupper():
-                raise MalformedInput(f"{name[:40]!r} is not the name of an event")
+                raise MalformedInput(
+                    f"{name[:40]!r} is not an event name (allowed: upper-case letters and _)"
+                )
 
-    def _handle(self, who, now, event, reply):
-        gateway = self._gateways.get(who)
+    def _handle_event(self, gateway_name, now, event, reply):
+        gateway = self._gateways.get(gateway_name)
         if gateway is None:
-            raise MalformedInput(f"{who} has not been started")
+            raise MalformedInput(f"gateway {gateway_name!r} has not been started")
         try:
             actions = gateway.handle(now, event)
-            reply.extend([encode(who, action) for action in actions])
-        except Exception as error:  # told to the other side, which stops the day; never swallowed
-            reply.append(f"BAIL_OUT {who} {_one_line(f'{type(error).__name__}: {error}')}")
-
-    def _spawn(self, rest, reply):
-        who, _, rest = rest.partition(" ")
-        seed, _, info = rest.partition(" ")
+            reply.extend([encode(gateway_name, action) for action in actions])
+        except Exception as error:  # reported to the simulator, which aborts the run
+            reply.append(f"BAIL_OUT {gateway_name} {_one_line(f'{type(error).__name__}: {error}')}")
+
+    def _start_gateway(self, rest, reply):
+        """Handles `SPAWN`: a gateway's name, its seed and its settings as JSON."""
+        gateway_name, _, rest = rest.partition(" ")
+        seed, _, config = rest.partition(" ")
         try:
             seed = int(seed)
-            info = json.loads(info)
+            config = json.loads(config)
         except ValueError as error:
             raise MalformedInput(f"SPAWN: {error}") from None
-        if not isinstance(info, dict):
-            raise MalformedInput("SPAWN: the settings are not an object")
-        settings = parse_settings(info)
+        if not isinstance(config, dict):
+            raise MalformedInput(f"SPAWN: the settings {config!r:.60} are not an object")
+        settings = parse_settings(config)
         try:
-            self._gateways[who] = Gateway(settings, seed)
+            self._gateways[gateway_name] = Gateway(settings, seed)
         except Exception as error:
-            reply.append(f"BAIL_OUT {who} {_one_line(f'{type(error).__name__}: {error}')}")
-
-    def _roster(self, now, rest, reply):
-        f = rest.split(" ")
-        if len(f) != 4 or f[1] not in LISTS:
-            raise MalformedInput("ROSTER_CHANGE takes an instance, a known kind, a version and a count")
+            reply.append(f"BAIL_OUT {gateway_name} {_one_line(f'{type(error).__name__}: {error}')}")
+
+    def _process_backend_list(self, now, rest, reply):
+        """Handles `ROSTER_CHANGE` and the `ITEM` lines that follow it."""
+        fields = rest.split(" ")
+        if len(fields) != 4 or fields[1] not in LIST_KINDS:
+            raise MalformedInput(
+                f"ROSTER_CHANGE takes a gateway, a list kind ({', '.join(LIST_KINDS)}), a version and a count"
+            )
         try:
-            version, count = _int(f[2]), _int(f[3])
+            version, count = _parse_int(fields[2]), _parse_int(fields[3])
             items = []
             for _ in range(count):
-                line = self._next()
+                line = self._next_line()
                 if line is None:
-                    raise MalformedInput("the input ends inside a list")
-                items.append(parse_item(line))
+                    raise MalformedInput(f"the input ends inside a list of {count} backends")
+                items.append(parse_backend(line))
         except ValueError as error:
             raise MalformedInput(f"ROSTER_CHANGE: {error}") from None
-        event = io.BackendsChanged(kind=LISTS[f[1]], version=version, backends=tuple(items))
-        self._handle(f[0], now, event, reply)
+        event = io.BackendsChanged(kind=LIST_KINDS[fields[1]], version=version, backends=tuple(items))
+        self._handle_event(fields[0], now, event, reply)
 
 
 def main() -> int:
-    gc.set_threshold(50000)
+    """Runs the adapter on standard input and output; returns 0, or 2 after malformed input."""
+    gc.set_threshold(50000)  # fewer passes over the long-lived state of many gateways
     host = Host(sys.stdin.buffer, sys.stdout)
     try:
         host.run()
     except MalformedInput as error:
-        print(f"cobaltline.adapter: line {host.line_no}: {error}", file=sys.stderr)
+        print(f"cobaltline.adapter: line {host.line_number}: {error}", file=sys.stderr)
         return 2
     return 0
 
