--- a/cobaltline/quota.py
+++ b/cobaltline/quota.py
@@ -1,29 +1,28 @@
-"""A customer's token bucket as one gateway has it: borrowing from the shared count that follows demand.
-
-**What it knows.** All gateways keep one number for each customer and window of the fleet's time
-(`cobaltline/fleet_clock.py`) on the counter: the
-units drawn since the window began. A window is many times as long as the customer's store takes to fill, and
-its budget fills as the window goes, so the store's level can be read off one total: what a full store and the
-refill since the window's start come to, less the total. Two things bring that away from the true store, and
-whoever sees it puts it right in the call that returns its excess: a store that is full takes no more refill
-(that overflow is added to the count), and calls that were given up were counted for nothing (a deficit that
-no store can have is taken off). Whoever opens a window reads the one before, once, and adds what the store
-still lacked.
-
-**Who is asked about.** A request that finds tokens spends them. Else the gateway borrows: one call adds the
-lease, and what does not fit goes back. Where the store was seen well filled, nothing is at stake: the request
-goes out at once, within this gateway's part of what was left, and a call behind it counts it together with
-others (`uncounted_tokens`). A part smaller than a request bounds nothing; there `Gateway.overrun_share`
-decides, the share of such trust that turned out wrong. A customer that comes many times quicker than it used
-to is counted at once, and asked about first when that goes on.
-
-**When the count is stale or gone.** Calls fail, or have to be spaced: the local share of the quota decides
-(`take_local`), and what it lets in is owed to the count. A customer found short is refused until its store
-has refilled so far (`retry_at`).
-
-**How it gets back.** A counter that came back empty shows a total below this gateway's own part: the count is
-put where the store lacks what this gateway let in of late. A lease that nobody spends while the store would
-fill goes back with the next call.
+"""A customer's token bucket as one gateway sees it; tokens are borrowed from a count that all gateways share.
+
+**The shared count.** The counter holds one number for each customer and window of the fleet's time
+(`cobaltline/fleet_clock.py`): the units drawn since the window began. A window is many times as long as the
+customer's bucket takes to fill. The level of the bucket follows from the total: the capacity plus the refill
+since the window began, less the total. Two things make that differ from the true level. A full bucket takes
+no more refill, so the overflow is added to the count. Calls that timed out may have been counted without a
+grant, so a deficit larger than a bucket can have is subtracted. The gateway that notices either corrects the
+count in the call that returns its excess. The gateway that opens a window reads the final total of the
+previous window once, and adds what the bucket lacked at its end.
+
+**Borrowing.** A request that finds tokens spends them. Otherwise the gateway borrows: one call adds the lease
+to the count, and the part that exceeds the level is returned. Where the bucket was last seen well filled, the
+request is admitted at once, within this gateway's share of the level, and a later call counts it together
+with others (`uncounted_tokens`). Where that share is smaller than a request, `Gateway.overrun_share` decides:
+the share of such admissions that exceeded the quota. A customer whose requests come much faster than before
+is counted at once, and if that continues its requests wait for the count.
+
+**Without the counter.** While calls fail or have to be spaced, the local share of the quota decides
+(`take_local`); what it admits is added to the count later. A customer whose bucket is found short is refused
+until the bucket has refilled far enough (`retry_at`).
+
+**Recovery.** A counter that restarted empty shows a total below this gateway's own part. The count is then
+raised by what this gateway admitted recently. A lease that stays unspent for the time in which the bucket
+fills is returned with the next call.
 """
 
 from __future__ import annotations
@@ -34,23 +33,28 @@
 from . import interface as io
 from .fleet_time import WINDOW_COUNT, WINDOW_MS, FleetTime
 
-MILLI_PER_UNIT = 1000  # milli-tokens a unit; the paper charges 1000 a request
-NO_WINDOW = -1  # is the number of none
-LEASE_SHARE = 0.06  # of last use that a lease adds: calls are cheap beside stranded tokens
-FILLED_SHARE = 0.5  # of its store: a customer that has so much left is let in before it is counted
-TRUST_SHARE = 0.7  # of a gateway's part of what was left: so much it lets in before it counts it
-OVERFLOW_SHARE = 0.1  # of a store that may run over before the count is put right
-DEFICIT_SHARE = 1.0  # of a store: a count that is further below empty is taken for wrong
-QUICK_TIMES = 16.0  # a request that comes so many times sooner than the mean tells of a burst
-PACE_WEIGHT = 0.1  # of one gap in the mean between a customer's requests here
-SHORT_FILLS = 2.0  # times that its store fills in: so long a customer found short counts as beyond its quota
-HOMES = 3  # gateways of a customer's set that may be its home, in turn while one does not answer
-BLIND_ODDS = 6.0  # how much more what is let in unasked has to be likely than what it may cost
-BLIND_SIZE = 1.5  # power of a request's size in that: a large one fits less often, and costs more where not
+MILLI_PER_UNIT = 1000  # milli-tokens per unit
+NO_WINDOW = -1  # not the number of any window
+LEASE_SHARE = 0.06  # share of recent use added to a lease; small, as unspent tokens cost more than calls
+FILLED_SHARE = 0.5  # of the capacity: from this level on, requests are admitted before they are counted
+TRUST_SHARE = 0.7  # part of a gateway's share of the level that it may admit before counting
+OVERFLOW_SHARE = 0.1  # of the capacity: an overflow above this is added to the count
+DEFICIT_SHARE = 1.0  # of the capacity: a level further below empty shows that the count is too high
+QUICK_FACTOR = 16.0  # a gap this many times shorter than the mean gap counts as part of a burst
+GAP_WEIGHT = 0.1  # weight of one gap in the mean gap between a customer's requests
+SHORT_MEMORY_FILLS = 2.0  # fill times during which a bucket found short is expected to be short still
+HOME_COUNT = 3  # gateways that can be a customer's home, tried in order while one does not answer
+RISK_WEIGHT = 6.0  # factor on the expected overrun cost in the odds of refusing a request
+RISK_SIZE_EXPONENT = 1.5  # of a request's relative size in that cost: large ones fit less often
 
 
 class Bucket:
-    """One customer here: leased milli-tokens, the borrow in flight, and what the shared count showed."""
+    """One customer at one gateway: leased tokens, the pending borrow, and the shared bucket as last seen.
+
+    Tokens are milli-tokens (`MILLI_PER_UNIT`). `first` and `spread` are the index of the first gateway and
+    the number of gateways of the customer's set. The caller makes the calls to the counter and passes the
+    results.
+    """
 
     def __init__(
         self,
@@ -66,111 +70,131 @@
         self.fleet_time = fleet_time
         self.spread = spread = max(1, min(spread, settings.gateways))
         rank = (settings.node_id - first) % max(1, settings.gateways)
-        # Homes, the same at each gateway, lend to the set: who sees all of a customer's use needs few calls.
+        # All gateways derive the same homes, which lend tokens to the rest of the set: a gateway that sees
+        # all of a customer's use needs few calls.
         digest = hashlib.sha256(f"{plan.name}/{key}".encode()).digest()
         self.counter_name = digest.hex()[:40]
-        homes = HOMES if settings.may_message_peers else 0
-        turns = [int.from_bytes(digest[4 * i : 4 * i + 4]) % spread for i in range(homes)]
-        self.homes = [(first + turn) % max(1, settings.gateways) for turn in turns]
+        home_count = HOME_COUNT if settings.may_message_peers else 0
+        home_positions = [int.from_bytes(digest[4 * i : 4 * i + 4]) % spread for i in range(home_count)]
+        self.homes = [(first + position) % max(1, settings.gateways) for position in home_positions]
         self.home_rank = self.homes.index(settings.node_id) + 1 if settings.node_id in self.homes else 0
-        self.rate = plan.rate  # milli-tokens a millisecond
+        self.rate = plan.rate  # units per second, which are milli-tokens per millisecond
         self.capacity = int(plan.burst * MILLI_PER_UNIT)
-        self.fill_ms = self.capacity / self.rate if self.rate > 0 else 1000.0  # in which an empty store fills
-        # Windows of unlike customers end at unlike moments: each brings calls that read the one before.
-        self.shift_ms = float(int.from_bytes(digest[-4:]) % int(WINDOW_MS))
-        self.previous_total_tries = 0  # calls that asked how the window before ended
-        # puts the count right, once it is known how the window before ended
+        self.fill_ms = self.capacity / self.rate if self.rate > 0 else 1000.0  # to fill an empty bucket
+        # The windows of different customers end at different times, as each end causes calls to the counter.
+        self.window_shift_ms = float(int.from_bytes(digest[-4:]) % int(WINDOW_MS))
+        self.previous_total_tries = 0  # calls made to read the final total of the previous window
+        # Correction of the count that is held back until the final total of the previous window is known.
         self.correction: int | None = None
         self.window = self.clock(now)[0]
-        self.counted_window = NO_WINDOW  # the last window that a count was seen of
-        # What this gateway has in the count of this window; let in and not counted yet; lapsed, not returned.
-        self.added = self.uncounted_tokens = self.left = 0
-        self.tokens, self.lent_at, self.lease = 0, now, 0
-        # of the store after the last lease; whether that is well filled
+        self.counted_window = NO_WINDOW  # the last window whose count was seen
+        # This gateway's part of the window's count; tokens admitted and not yet counted; tokens of expired
+        # leases that are to be returned.
+        self.added = self.uncounted_tokens = self.expired_tokens = 0
+        self.tokens, self.leased_at, self.lease = 0, now, 0
+        # Level of the bucket after the last lease, and whether that counts as well filled.
         self.level, self.is_filled = 0.0, False
-        self.uncounted_requests = 0  # requests that are owed
-        self.spent = self.spent_before = 0  # own use since `spent_at`, and in the `fill_ms` before
-        self.spent_at = now
-        self.visited_at, self.quick_streak = 0.0, 0  # the last request; how many in a row came quickly
-        # Mean gap between requests here; at first that of units at a quarter of the quota.
-        self.pace_ms = 4.0 * MILLI_PER_UNIT * spread / max(self.rate, 1e-9)
-        self.retry_at, self.pending = 0.0, 0  # pending: answers still out for the borrow in flight
-        self.short_at = -1e12  # when the store was last found short
-        self.waiting, self.gated = deque(), deque()  # for tokens; for an attempt out to end
-        # Over this part of the limit on attempts out, requests wait for an own one to end.
-        extra = rank < plan.max_concurrency % spread
-        self.open_count, self.max_open = 0, max(1, plan.max_concurrency // spread + extra)
-        # sources that failed for what waits; last turn told to a peer
+        self.uncounted_requests = 0  # requests admitted and not yet counted
+        self.spent_this_period = self.spent_last_period = 0  # own use in periods of `fill_ms`
+        self.period_started_at = now
+        self.last_arrival_at, self.quick_streak = 0.0, 0  # consecutive short gaps
+        # Mean gap between requests at this gateway; the initial value assumes a quarter of the quota.
+        self.mean_gap_ms = 4.0 * MILLI_PER_UNIT * spread / max(self.rate, 1e-9)
+        self.retry_at, self.pending = 0.0, 0  # number of unanswered calls of the borrow
+        self.short_at = -1e12  # when the bucket was last found short
+        self.waiting, self.gated = deque(), deque()  # requests waiting for tokens; for an attempt to end
+        # This gateway's part of the limit on concurrent attempts; requests above it wait for an attempt to
+        # end.
+        gets_remainder = rank < plan.max_concurrency % spread
+        self.open_count, self.max_open = 0, max(1, plan.max_concurrency // spread + gets_remainder)
+        # Sources that failed for the waiting requests (1: counter; 2 for each home asked); the latest retry
+        # time given to a peer.
         self.sources_tried, self.promised_at = 0, 0.0
-        self.was_asked_again = False  # for what waits, the counter was asked once more after a spoilt answer
+        self.was_asked_again = False  # the borrow was repeated after an unusable response
         self.share = 1.0 / (self.home_rank or spread)
-        self.local, self.local_at = self.capacity * self.share, now
-        # So many gateways that none has a unit of the burst: what one sees of the customer tells it nothing.
+        self.local_tokens, self.local_refilled_at = self.capacity * self.share, now
+        # With a share below one unit, what a gateway sees of the customer does not predict whether a request
+        # fits.
         self.has_thin_share = (
             self.capacity * self.share < MILLI_PER_UNIT
             and plan.ceiling_rate <= 0
             and not settings.may_message_peers
         )
-        # Unconfirmed grants under a ceiling: a part of ceiling less quota, two units at least, from the first
-        # home on. Starts empty: a gateway that was restarted cannot know what it granted before.
-        extra = max(0.0, plan.ceiling_burst - plan.burst)
-        holders = max(1, min(spread, int(extra / 2)))
-        turn = (rank - (turns[0] if turns else 0)) % spread
-        part = 1.0 / holders if turn < holders else 0.0
-        self.spare_rate = max(0.0, plan.ceiling_rate - plan.rate) * part
-        self.max_spare, self.spare, self.spare_at = extra * MILLI_PER_UNIT * part, 0.0, now
+        # Requests admitted without the counter draw on a part of the ceiling less the quota, which is divided
+        # among gateways from the first home on, at least two units each. It starts empty, as a restarted
+        # gateway does not know what it admitted before.
+        spare_units = max(0.0, plan.ceiling_burst - plan.burst)
+        holder_count = max(1, min(spread, int(spare_units / 2)))
+        position = (rank - (home_positions[0] if home_positions else 0)) % spread
+        spare_share = 1.0 / holder_count if position < holder_count else 0.0
+        self.spare_rate = max(0.0, plan.ceiling_rate - plan.rate) * spare_share
+        self.max_spare, self.spare, self.spare_refilled_at = (
+            spare_units * MILLI_PER_UNIT * spare_share,
+            0.0,
+            now,
+        )
         self.last_used_at = now
 
     def clock(self, now: float) -> tuple[int, float]:
-        """The number of the customer's window, and the time in ms since that began."""
-        return self.fleet_time.window(now, self.shift_ms)
+        """Returns the number of the customer's current window and the time in ms since it began."""
+        return self.fleet_time.window(now, self.window_shift_ms)
 
     def knows_window(self, now: float) -> bool:
-        return self.fleet_time.knows_window(now, self.shift_ms)
+        """Whether the fleet's time is known well enough to tell the customer's current window."""
+        return self.fleet_time.knows_window(now, self.window_shift_ms)
 
     def previous_window(self) -> int:
-        """The number of the window before this one; they are numbered round."""
+        """Returns the number of the window before this one; window numbers wrap around."""
         return (self.window - 1) % WINDOW_COUNT
 
     def record_arrival(self, now: float) -> None:
-        """A request has come: how quickly, beside the mean of late."""
-        if self.visited_at:
-            gap_ms = now - self.visited_at
-            self.quick_streak = self.quick_streak + 1 if gap_ms * QUICK_TIMES < self.pace_ms else 0
-            self.pace_ms += PACE_WEIGHT * (gap_ms - self.pace_ms)
-        self.visited_at = now
+        """Takes a new request into the mean gap between requests, and into the count of short gaps."""
+        if self.last_arrival_at:
+            gap_ms = now - self.last_arrival_at
+            self.quick_streak = self.quick_streak + 1 if gap_ms * QUICK_FACTOR < self.mean_gap_ms else 0
+            self.mean_gap_ms += GAP_WEIGHT * (gap_ms - self.mean_gap_ms)
+        self.last_arrival_at = now
 
     def advance(self, now: float) -> None:
-        """Bring the clock forward: a new window has nothing counted; leases lapse that nobody spent."""
-        if now - self.spent_at >= self.fill_ms:
-            if now - self.spent_at >= 2.0 * self.fill_ms:  # what was used then has refilled
-                self.spent = self.uncounted_tokens = self.uncounted_requests = 0
-            self.spent_before, self.spent, self.spent_at = self.spent, 0, now
-        if self.tokens > 0 and now - self.lent_at > self.fill_ms:
-            self.left += self.tokens
+        """Brings the state up to date: starts new periods and windows, and expires unspent leases."""
+        if now - self.period_started_at >= self.fill_ms:
+            if now - self.period_started_at >= 2.0 * self.fill_ms:  # all of it has refilled since
+                self.spent_this_period = self.uncounted_tokens = self.uncounted_requests = 0
+            self.spent_last_period, self.spent_this_period, self.period_started_at = (
+                self.spent_this_period,
+                0,
+                now,
+            )
+        if self.tokens > 0 and now - self.leased_at > self.fill_ms:
+            self.expired_tokens += self.tokens
             self.tokens = 0
         window = self.clock(now)[0]
         if window != self.window:
-            self.window, self.added, self.left = window, 0, 0
+            self.window, self.added, self.expired_tokens = window, 0, 0
 
     def spend(self, cost: int) -> None:
-        self.spent += cost
-        self.local -= cost
+        """Records `cost` as used; a negative cost takes back an earlier one."""
+        self.spent_this_period += cost
+        self.local_tokens -= cost
 
-    def lease_size(self, direct: float) -> int:
-        """The lease to ask for; none where nothing waits. `direct` is the share of borrows that go well."""
+    def lease_size(self, direct_share: float) -> int:
+        """Returns the lease to borrow, 0 if no request waits.
+
+        `direct_share` is the share of borrows that go directly to the counter; the lower it is, the larger
+        the lease.
+        """
         if not self.waiting:
             return 0
-        share = max(LEASE_SHARE, 1.0 - direct)
+        share = max(LEASE_SHARE, 1.0 - direct_share)
         cost = self.waiting[0].cost
         own_part = int(self.capacity * self.share)
-        lease = min(own_part, int(self.spent_before * share) + cost)
+        lease = min(own_part, int(self.spent_last_period * share) + cost)
         return max(lease, sum(r.cost for r in self.waiting))
 
     def take_unreported(self) -> int:
-        """What the next call counts beside its lease."""
-        own, self.uncounted_tokens, self.left, self.uncounted_requests = (
-            self.uncounted_tokens - self.left,
+        """Returns what the next call has to add to the count besides its lease, and resets it."""
+        own, self.uncounted_tokens, self.expired_tokens, self.uncounted_requests = (
+            self.uncounted_tokens - self.expired_tokens,
             0,
             0,
             0,
@@ -179,57 +203,70 @@
         return own
 
     def apply_total(self, now: float, total: int) -> tuple[bool, int]:
-        """The count of this window with the lease in it, from which follows what the store held before the
-        lease (`level`). Returns whether this was the window's first call, and what has to be added to the
-        count to put it right."""
+        """Sets `level`, the level of the bucket before the lease, from the window's total including the
+        lease.
+
+        Returns whether this was the window's first call, and the correction to add to the count.
+        """
         self.added += self.lease
-        inside_ms, amount, most = self.clock(now)[1], 0, float(self.capacity)
-        held = self.capacity + self.rate * inside_ms - total + self.lease
-        opens = total == self.added and inside_ms < self.fill_ms and self.counted_window != self.window
+        elapsed_ms, correction, max_level = self.clock(now)[1], 0, float(self.capacity)
+        level_before_lease = self.capacity + self.rate * elapsed_ms - total + self.lease
+        opens = total == self.added and elapsed_ms < self.fill_ms and self.counted_window != self.window
         self.counted_window = self.window
-        if total < self.added:  # the counter came back empty: what this gateway let in of late is put back
-            self.added, most = total, max(0.0, most - self.spent - self.spent_before)
-            amount = max(0, int(held - most))
-        elif held > (1.0 + OVERFLOW_SHARE) * self.capacity and not opens:
-            amount = int(held - self.capacity)
-        elif held < -DEFICIT_SHARE * self.capacity:
-            amount = int(held + DEFICIT_SHARE * self.capacity)
-        self.level = max(-DEFICIT_SHARE * self.capacity, min(most, held))
-        return opens, amount
+        if total < self.added:  # the counter restarted empty: restore this gateway's recent use
+            self.added, max_level = (
+                total,
+                max(0.0, max_level - self.spent_this_period - self.spent_last_period),
+            )
+            correction = max(0, int(level_before_lease - max_level))
+        elif level_before_lease > (1.0 + OVERFLOW_SHARE) * self.capacity and not opens:
+            correction = int(level_before_lease - self.capacity)
+        elif level_before_lease < -DEFICIT_SHARE * self.capacity:
+            correction = int(level_before_lease + DEFICIT_SHARE * self.capacity)
+        self.level = max(-DEFICIT_SHARE * self.capacity, min(max_level, level_before_lease))
+        return opens, correction
 
     def add_lease(self, now: float, keep: int) -> None:
-        """So much of the lease is kept."""
+        """Keeps `keep` tokens of the lease."""
         self.tokens += keep
-        self.lent_at = now
-        self._draw(keep)
+        self.leased_at = now
+        self._reduce_level(keep)
 
     def carry_over(self, total: int) -> int:
-        """The window before ended with this total: what its store lacked then, and the count has to have."""
-        held = self.capacity + self.rate * WINDOW_MS - total
-        lacked = int(self.capacity - max(0.0, min(self.capacity, held)))
-        self._draw(lacked)
+        """Returns what the bucket lacked when the previous window ended with `total`, for the count."""
+        final_level = self.capacity + self.rate * WINDOW_MS - total
+        lacked = int(self.capacity - max(0.0, min(self.capacity, final_level)))
+        self._reduce_level(lacked)
         return lacked
 
-    def _draw(self, units: int) -> None:
+    def _reduce_level(self, units: int) -> None:
         self.level -= units
         self.is_filled = self.level >= FILLED_SHARE * self.capacity
 
-    def take_local(self, now: float, cost: int, odds: float, short: float, mean_cost: float) -> bool:
-        """The bounded local share that stands in for the counter while calls fail. A share under one request,
-        as many gateways have of a small burst, tells nothing of the customer: unless its store was lately
-        found short, it is let in by odds (a draw below 1), the less likely the more of other customers'
-        borrows came back `short`, the more it costs to let in too much and the larger it is beside the mean.
-        Refused, its client comes again and may be counted then. After its store was found short: by odds,
-        and owed, so that shares neither lapse nor round up."""
-        most = self.capacity * self.share
-        self.local = min(most, self.local + self.rate * self.share * (now - self.local_at))
-        self.local_at = now
-        small = most < cost
-        if self.has_thin_share and now - self.short_at > SHORT_FILLS * self.fill_ms:
-            risk = self.plan.overrun_cost * short * (cost / mean_cost) ** BLIND_SIZE
-            fits = odds >= BLIND_ODDS * risk
+    def take_local(self, now: float, cost: int, draw: float, short_share: float, mean_cost: float) -> bool:
+        """Whether the local share of the quota admits a request while the counter can't be called.
+
+        `draw` is a random number from [0, 1), `short_share` the share of borrows that found their buckets
+        short, and `mean_cost` the mean cost of requests. A local share below one request does not predict
+        whether the request fits. Unless the bucket was found short recently, such a request is admitted at
+        random: less often the more borrows come back short, the more an overrun costs, and the larger the
+        request is. A refused client may retry and be counted then. After the bucket was found short, the
+        request is admitted at random in proportion to the local tokens, which may go below 0, so that on
+        average exactly the local share is used.
+        """
+        max_tokens = self.capacity * self.share
+        self.local_tokens = min(
+            max_tokens, self.local_tokens + self.rate * self.share * (now - self.local_refilled_at)
+        )
+        self.local_refilled_at = now
+        is_share_small = max_tokens < cost
+        if self.has_thin_share and now - self.short_at > SHORT_MEMORY_FILLS * self.fill_ms:
+            risk = self.plan.overrun_cost * short_share * (cost / mean_cost) ** RISK_SIZE_EXPONENT
+            fits = draw >= RISK_WEIGHT * risk
         else:
-            fits = self.local >= cost * (odds if small else 1.0) - 1e-6 and self.local > 0
+            fits = (
+                self.local_tokens >= cost * (draw if is_share_small else 1.0) - 1e-6 and self.local_tokens > 0
+            )
         if not fits or not self.take_spare(now, cost):
             return False
         self.spend(cost)
@@ -237,11 +274,14 @@
         return True
 
     def take_spare(self, now: float, cost: int) -> bool:
-        """Under a ceiling, unconfirmed grants draw on this gateway's part of ceiling less quota."""
+        """Whether a request may be admitted before it is counted.
+
+        Under a ceiling, it draws on this gateway's part of the ceiling less the quota.
+        """
         if self.plan.ceiling_rate <= 0:
             return True
-        spare = self.spare + self.spare_rate * (now - self.spare_at)
-        self.spare, self.spare_at = min(self.max_spare, spare), now
+        spare = self.spare + self.spare_rate * (now - self.spare_refilled_at)
+        self.spare, self.spare_refilled_at = min(self.max_spare, spare), now
         if self.spare < cost:
             return False
         self.spare -= cost
