--- a/cobaltline/adapter.py
+++ b/cobaltline/adapter.py
@@ -418,7 +418,7 @@
     def _handle_event(self, gateway_name, now, event, reply):
         gateway = self._gateways.get(gateway_name)
         if gateway is None:
-            raise MalformedInput(f"gateway {gateway_name!r} has not been started")
+            raise MalformedInput(f"gateway {gateway_name} has not been started")
         try:
             actions = gateway.handle(now, event)
             reply.extend([encode(gateway_name, action) for action in actions])
--- a/cobaltline/backend_pool.py
+++ b/cobaltline/backend_pool.py
@@ -1,4 +1,4 @@
-"""The backends that the module knows: a change costs what it changes, however many there are."""
+"""The known backends, indexed so that the cost of a change does not grow with their number."""
 
 from __future__ import annotations
 
@@ -6,64 +6,76 @@
 
 
 class BackendPool:
-    """Its members have `id`, `zone`, `cell`, `weight`, and `usable` and `pool_index`, kept here. `usable`
-    has an order that follows from the events alone: the last one takes the place of one that goes."""
+    """All known backends by id, and the usable ones as a list.
+
+    Members have the attributes `id`, `zone`, `cell` and `weight`, and `usable` and `pool_index`, which the
+    pool maintains. The order of the list `usable` depends on the events alone, so that runs are reproducible:
+    the last backend takes the place of one that is removed.
+    """
 
     def __init__(self) -> None:
         self.by_id: dict[str, object] = {}
         self.usable: list = []
-        self.max_weight = 1.0  # weight among the usable ones
-        self._weights: dict[float, int] = {}  # of theirs, and how often each
-        self._scopes: dict[tuple[str, str | int], list] = {}  # those of a zone or cell, once asked for
-        self._left: dict[str, object] = {}  # not usable, and not yet swept away
+        self.max_weight = 1.0  # the largest weight of a usable backend
+        self._weight_counts: dict[float, int] = {}  # number of usable backends by weight
+        self._usable_by_scope: dict[tuple[str, str | int], list] = {}  # cache, by attribute and value
+        self._departed: dict[str, object] = {}  # unusable and not swept yet
+
+    def mark_usable(self, backend) -> None:
+        """Adds a backend that is new or unusable to the usable ones."""
+        self.by_id[backend.id] = backend
+        self._departed.pop(backend.id, None)
+        backend.usable, backend.pool_index = True, len(self.usable)
+        self.usable.append(backend)
+        self._weight_counts[backend.weight] = self._weight_counts.get(backend.weight, 0) + 1
+        if len(self.usable) == 1 or backend.weight > self.max_weight:
+            self.max_weight = backend.weight
+        self._usable_by_scope.clear()
 
-    def mark_usable(self, x) -> None:
-        self.by_id[x.id] = x
-        self._left.pop(x.id, None)
-        x.usable, x.pool_index = True, len(self.usable)
-        self.usable.append(x)
-        self._weights[x.weight] = self._weights.get(x.weight, 0) + 1
-        if len(self.usable) == 1 or x.weight > self.max_weight:
-            self.max_weight = x.weight
-        self._scopes.clear()
+    def mark_unusable(self, backend) -> None:
+        """Removes a backend from the usable ones, or adds one that is not usable.
 
-    def mark_unusable(self, x) -> None:
-        """No longer usable, or not at all. The weights are gone through where the heaviest goes that had no
-        equal: there are few, or else one of many goes."""
-        self.by_id[x.id] = self._left[x.id] = x
-        if not x.usable:
+        The largest weight is searched again only if the removed backend was the last one that had it.
+        """
+        self.by_id[backend.id] = self._departed[backend.id] = backend
+        if not backend.usable:
             return
-        x.usable, last = False, self.usable.pop()
-        if last is not x:
-            self.usable[x.pool_index], last.pool_index = last, x.pool_index
-        self._weights[x.weight] -= 1
-        if not self._weights[x.weight]:
-            del self._weights[x.weight]
-            if x.weight == self.max_weight:
-                self.max_weight = max(self._weights, default=1.0)
-        self._scopes.clear()
+        backend.usable, last = False, self.usable.pop()
+        if last is not backend:
+            self.usable[backend.pool_index], last.pool_index = last, backend.pool_index
+        self._weight_counts[backend.weight] -= 1
+        if not self._weight_counts[backend.weight]:
+            del self._weight_counts[backend.weight]
+            if backend.weight == self.max_weight:
+                self.max_weight = max(self._weight_counts, default=1.0)
+        self._usable_by_scope.clear()
 
-    def retain(self, names: Iterable[str]) -> int:
-        """All others are gone; returns how many usable ones that were."""
-        named = set(names)
-        gone = [x for x in self.usable if x.id not in named]
-        for x in gone:
-            self.mark_unusable(x)
+    def retain(self, ids: Iterable[str]) -> int:
+        """Marks all backends not listed in `ids` as unusable; returns how many were usable before."""
+        listed = set(ids)
+        gone = [backend for backend in self.usable if backend.id not in listed]
+        for backend in gone:
+            self.mark_unusable(backend)
         return len(gone)
 
-    def usable_in_same(self, kind: str, home) -> list:
-        """The usable ones of the same zone or cell; all are gone through once after each change."""
-        here = getattr(home, kind)
-        if (kind, here) not in self._scopes:
-            self._scopes[kind, here] = [x for x in self.usable if getattr(x, kind) == here]
-        return self._scopes[kind, here]
+    def usable_in_same(self, attribute: str, reference) -> list:
+        """Returns the usable backends whose `attribute` ("zone" or "cell") equals that of `reference`.
+
+        The result is cached until the next change.
+        """
+        value = getattr(reference, attribute)
+        if (attribute, value) not in self._usable_by_scope:
+            self._usable_by_scope[attribute, value] = [
+                backend for backend in self.usable if getattr(backend, attribute) == value
+            ]
+        return self._usable_by_scope[attribute, value]
 
     def sweep(self) -> list:
-        """Forget what left and has no attempt out; returns those."""
+        """Removes unusable backends without open attempts; returns those that have not been replaced."""
         swept = []
-        for x in [x for x in self._left.values() if not x.open_attempts]:
-            del self._left[x.id]
-            if self.by_id[x.id] is x:
-                del self.by_id[x.id]
-                swept.append(x)
+        for backend in [backend for backend in self._departed.values() if not backend.open_attempts]:
+            del self._departed[backend.id]
+            if self.by_id[backend.id] is backend:
+                del self.by_id[backend.id]
+                swept.append(backend)
         return swept
--- a/cobaltline/fleet_time.py
+++ b/cobaltline/fleet_time.py
@@ -1,23 +1,27 @@
-"""The fleet's time as one gateway knows it, and as timestamps on the counter hold it.
+"""The fleet's time: a logical clock by which all gateways number the windows of the shared counts.
 
-A logical clock: all gateways number the windows of the shared counts by it. It goes round, so that a
-timestamp fits into the digits of a total.
+`FleetTime` holds it as one gateway knows it; timestamps hold it on the counter. It wraps around after
+`CYCLE_MS`, so that a timestamp fits into the digits of a total.
 """
 
 from __future__ import annotations
 
-MAX_COUNTER_TTL_MS = 60000.0  # the longest a counter name lives
-# of the shared counts: the one before is still there all through the next
+MAX_COUNTER_TTL_MS = 60000.0  # the longest lifetime of a counter name
+# Length of a window of the shared counts: a window's count still exists until the end of the next window.
 WINDOW_MS = MAX_COUNTER_TTL_MS / 2.5
-WINDOW_COUNT = 4000  # they are numbered round: so many fit into the digits that a total has
+WINDOW_COUNT = 4000  # window numbers wrap around; more would not fit into the digits of a total
 CYCLE_MS = WINDOW_COUNT * WINDOW_MS
-TIMESTAMP_RESOLUTION_MS = 20.0  # of a timestamp
+TIMESTAMP_RESOLUTION_MS = 20.0
 MAX_TIMESTAMP = 2 * int(CYCLE_MS / TIMESTAMP_RESOLUTION_MS)
 
 
 class FleetTime:
-    """How far the fleet's time is ahead of this gateway's own clock, in ms; whether that is known at all, and
-    by how much the fleet's time may be behind or ahead of what follows from it."""
+    """The fleet's time relative to this gateway's own clock.
+
+    `offset_ms` is by how much the fleet's time is ahead of the own clock, and `is_known` whether that is
+    known at all. The fleet's true time lies between `behind_ms` before and `ahead_ms` after the time computed
+    from it.
+    """
 
     __slots__ = ("offset_ms", "is_known", "behind_ms", "ahead_ms")
 
@@ -25,41 +29,46 @@
         self.offset_ms, self.is_known = 0.0, is_known
         self.behind_ms = self.ahead_ms = 0.0
 
-    def window(self, now: float, shift_ms: float) -> tuple[int, float]:
-        """The number of the window, from 0 to WINDOWS, and the time in ms since it began."""
-        number, inside_ms = divmod((now + self.offset_ms + shift_ms) % CYCLE_MS, WINDOW_MS)
-        return int(number), inside_ms
+    def window(self, now: float, window_shift_ms: float) -> tuple[int, float]:
+        """Returns the number of the window, from 0 to `WINDOW_COUNT` - 1, and the time in ms since it began.
+
+        `window_shift_ms` is how much earlier than windows with shift 0 the windows in question begin.
+        """
+        number, elapsed_ms = divmod((now + self.offset_ms + window_shift_ms) % CYCLE_MS, WINDOW_MS)
+        return int(number), elapsed_ms
 
-    def knows_window(self, now: float, shift_ms: float) -> bool:
-        """Whether it is known which window it is."""
+    def knows_window(self, now: float, window_shift_ms: float) -> bool:
+        """Whether all times that the fleet's time may have lie in the same window."""
         if not self.is_known:
             return False
-        inside_ms = self.window(now, shift_ms)[1]
-        return self.behind_ms <= inside_ms and inside_ms + self.ahead_ms < WINDOW_MS
+        elapsed_ms = self.window(now, window_shift_ms)[1]
+        return self.behind_ms <= elapsed_ms and elapsed_ms + self.ahead_ms < WINDOW_MS
 
 
 def encode_timestamp(fleet_ms: float, exact: bool = True) -> int:
-    """A time as a total holds it: 0 is none. Where it is not `exact`, it is a lower bound: the fleet's time
-    was no earlier."""
+    """Returns the total that holds a time, never 0.
+
+    Unless `exact`, the timestamp is a lower bound: the fleet's time was no earlier.
+    """
     return 1 + 2 * int(fleet_ms % CYCLE_MS / TIMESTAMP_RESOLUTION_MS) + (0 if exact else 1)
 
 
 def is_exact(total: int) -> bool:
-    """Whether a timestamp says what the fleet's time was, and not only a lower bound of it."""
+    """Whether a timestamp is exact and not only a lower bound of the fleet's time."""
     return total % 2 == 1
 
 
 def decode_timestamp(total: int) -> float:
-    """The time in ms that a timestamp holds, rounded down."""
+    """Returns the time in ms that a timestamp holds, rounded down to the resolution."""
     return (total - 1) // 2 * TIMESTAMP_RESOLUTION_MS
 
 
 def wrap_difference_ms(difference_ms: float) -> float:
-    """A difference of two times of the cycle, in ms, between half a cycle back and half a cycle on."""
+    """Returns the difference of two times as between minus and plus half a cycle, in ms."""
     forward_ms = difference_ms % CYCLE_MS
     return forward_ms - CYCLE_MS if forward_ms > CYCLE_MS / 2 else forward_ms
 
 
 def lead_ms(total: int, fleet_ms: float) -> float:
-    """By how many ms a timestamp is ahead of a time."""
+    """Returns by how many ms a timestamp is ahead of a time; negative if it is behind."""
     return wrap_difference_ms(decode_timestamp(total) - fleet_ms)
--- a/cobaltline/tracked_backend.py
+++ b/cobaltline/tracked_backend.py
@@ -1,13 +1,20 @@
-"""A backend as one gateway sees it: what it sent there, and what it learned of how long answers take."""
+"""A backend as one gateway sees it: its own attempts there and the latency observed."""
 
 from __future__ import annotations
 
 from . import interface as io
 
-AVOID_HALF_MS = 4000.0  # half of what a backend was slower or faster than the mean is forgotten in this time
+LATENCY_HALF_LIFE_MS = 4000.0  # of a backend's deviation from the mean latency
 
 
 class TrackedBackend:
+    """A process listed by discovery. A restarted process is tracked by a new object.
+
+    Times are on the gateway's own clock, in ms. `usable` and `pool_index` are maintained by `BackendPool`;
+    `first_heard_at`, `max_age_ms` and `started_at` by `StartTimes`; `cold_tokens` and `cold_refilled_at` by
+    `ColdPacer`.
+    """
+
     __slots__ = (
         "id",
         "zone",
@@ -29,24 +36,30 @@
         "cold_refilled_at",
     )
 
-    def __init__(self, entry: io.Backend, now: float, turn: float):
+    def __init__(self, entry: io.Backend, now: float, initial_tokens: float):
         self.id, self.usable = entry.id, False
-        self.open_attempts: dict[tuple[str, int], float] = {}  # attempts out, by time sent
+        self.open_attempts: dict[tuple[str, int], float] = {}  # when sent, by request and attempt
         self.latency_ms = self.latency_at = self.last_heard_at = 0.0
         self.has_failed, self.start_ms = False, entry.started_ms
-        self.first_heard_at = self.max_age_ms = self.started_at = 0.0  # kept by `StartTimes`
-        self.unusable_responses = 0  # answers spoilt or broken off since the last good one
-        # Part of a turn, drawn at random: one at once from each of many gateways would push it over.
-        self.cold_tokens, self.cold_refilled_at = turn, now
+        self.first_heard_at = self.max_age_ms = self.started_at = 0.0
+        self.unusable_responses = 0  # consecutive, since the last good response
+        # A random part of a request, as a whole one from each of many gateways could overload the backend.
+        self.cold_tokens, self.cold_refilled_at = initial_tokens, now
 
     def update(self, entry: io.Backend) -> None:
+        """Takes over the listed fields that may change while the process runs."""
         self.zone, self.cell, self.weight = entry.zone, entry.cell, max(entry.weight, 1e-3)
 
-    def expected_ms(self, now: float, mean: float) -> float:
-        """The latency to expect: what was seen here, fading into the mean of all backends."""
-        latency = mean
+    def expected_ms(self, now: float, mean_ms: float) -> float:
+        """Returns the expected latency in ms: the observed one, which decays to the mean of all backends.
+
+        It is no less than the time for which the backend has been silent with an attempt in progress.
+        """
+        latency_ms = mean_ms
         if self.latency_ms:
-            latency += (self.latency_ms - mean) * 0.5 ** ((now - self.latency_at) / AVOID_HALF_MS)
+            latency_ms += (self.latency_ms - mean_ms) * 0.5 ** (
+                (now - self.latency_at) / LATENCY_HALF_LIFE_MS
+            )
         if self.open_attempts:
-            return max(latency, now - max(self.last_heard_at, next(iter(self.open_attempts.values()))))
-        return latency
+            return max(latency_ms, now - max(self.last_heard_at, next(iter(self.open_attempts.values()))))
+        return latency_ms
