--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire."""
+"""The adapter parses the simulator's line protocol and encodes actions for it."""
 
 import io as sio
 import json
@@ -12,7 +12,7 @@
 from cobaltline import interface as io
 
 ROOT = Path(__file__).parent.parent
-INFO = {
+SETTINGS = {
     "azs": ["z1"],
     "zone": "z1",
     "instances": 2,
@@ -29,64 +29,71 @@
     "report": {"columns": ["busy_reqs"], "source": "inline"},
     "never-heard-of": {"a": 1},
 }
-START = (
+START_BATCH = (
     "FRAME 1000.5 1\n"
-    f"SPAWN gateway-1 42 {json.dumps(INFO)}\n"
+    f"SPAWN gateway-1 42 {json.dumps(SETTINGS)}\n"
     "ROSTER_CHANGE gateway-1 Persisted 7 2\n"
     "ITEM 10.0.0.1:80 z1 box 0 up 1 -\n"
     "ITEM 10.0.0.2:80 z1 box 0 draining 1.5 900.0\n"
     "COMMIT\n"
 )
-REQUEST = "FRAME 1004.5 2\nREQUEST gateway-1 rq_a 0 1 0 read 4004.5 2 p c-one\nCOMMIT\n"
+REQUEST_BATCH = "FRAME 1004.5 2\nREQUEST gateway-1 rq_a 0 1 0 read 4004.5 2 p c-one\nCOMMIT\n"
 
 
-def run(text):
-    out = sio.StringIO()
-    host = adapter.Host(sio.StringIO(text), out)
+def run_host(text):
+    """Runs the adapter in this process; returns its output."""
+    output = sio.StringIO()
+    host = adapter.Host(sio.StringIO(text), output)
     host.run()
-    return out.getvalue()
+    return output.getvalue()
 
 
-def command(text, cwd=ROOT, argv=None):
-    argv = argv or [sys.executable, "-m", "cobaltline.adapter"]
-    return subprocess.run(argv, input=text.encode(), capture_output=True, cwd=cwd, timeout=60)
+def run_adapter(text, cwd=ROOT, command=None):
+    """Runs the adapter as a process of its own; returns the completed process."""
+    command = command or [sys.executable, "-m", "cobaltline.adapter"]
+    return subprocess.run(command, input=text.encode(), capture_output=True, cwd=cwd, timeout=60)
 
 
-def test_settings_are_read_and_unknown_keys_skipped():
-    s = adapter.parse_settings(INFO)
+def test_settings_are_parsed_and_unknown_keys_ignored():
+    parsed = adapter.parse_settings(SETTINGS)
     assert (
-        s.node_id == 1
-        and s.gateways == 2
-        and s.counter
-        and s.counter_timeout_ms == 40.0
-        and s.most_attempts == 3
+        parsed.node_id == 1
+        and parsed.gateways == 2
+        and parsed.counter
+        and parsed.counter_timeout_ms == 40.0
+        and parsed.most_attempts == 3
     )
     assert (
-        s.classes["read"].idempotency is io.Idempotency.SAFE and s.classes["read"].target_latency_ms == 900.0
+        parsed.classes["read"].idempotency is io.Idempotency.SAFE
+        and parsed.classes["read"].target_latency_ms == 900.0
     )
-    assert s.classes["odd"].idempotency is io.Idempotency.UNSAFE
-    assert s.plans["p"].rate == 2.0 and s.plans["p"].burst == 6.0 and s.plans["p"].max_concurrency == 3
-    assert s.load_report_fields == ("busy_reqs",) and s.has_inline_load_reports
-
-
-def test_an_empty_settings_object_is_enough():
-    out = run("FRAME 1 1\nSPAWN gateway-0 1 {}\nROSTER_CHANGE gateway-0 Persisted 0 0\nCOMMIT\n")
-    assert out.endswith("END 1\n") and "BAIL_OUT" not in out
-
-
-def test_a_request_is_borrowed_for_and_sent_on():
-    out = run(START + REQUEST)
-    assert out.count("ADD gateway-1 ") == 1
-    adds = [line.split() for line in out.splitlines() if line.startswith("ADD")]
-    sums = "".join(f"SUM gateway-1 {a[4]} 0 {a[3]} 2.5\n" for a in adds)
-    out = run(START + REQUEST + f"FRAME 1008.5 3\n{sums}COMMIT\n")
-    forward = [line for line in out.splitlines() if line.startswith("FORWARD")]
-    assert forward == ["FORWARD gateway-1 rq_a 4004.500 10.0.0.1:80"]
-    out = run(
-        START + REQUEST + f"FRAME 1008.5 3\n{sums}COMMIT\nFRAME 1050.5 4\n"
+    assert parsed.classes["odd"].idempotency is io.Idempotency.UNSAFE
+    assert (
+        parsed.plans["p"].rate == 2.0
+        and parsed.plans["p"].burst == 6.0
+        and parsed.plans["p"].max_concurrency == 3
+    )
+    assert parsed.load_report_fields == ("busy_reqs",) and parsed.has_inline_load_reports
+
+
+def test_every_setting_is_optional():
+    output = run_host("FRAME 1 1\nSPAWN gateway-0 1 {}\nROSTER_CHANGE gateway-0 Persisted 0 0\nCOMMIT\n")
+    assert output.endswith("END 1\n") and "BAIL_OUT" not in output
+
+
+def test_a_request_borrows_tokens_and_is_forwarded():
+    output = run_host(START_BATCH + REQUEST_BATCH)
+    assert output.count("ADD gateway-1 ") == 1
+    calls = [line.split() for line in output.splitlines() if line.startswith("ADD")]
+    results = "".join(f"SUM gateway-1 {call[4]} 0 {call[3]} 2.5\n" for call in calls)
+    output = run_host(START_BATCH + REQUEST_BATCH + f"FRAME 1008.5 3\n{results}COMMIT\n")
+    forwarded = [line for line in output.splitlines() if line.startswith("FORWARD")]
+    assert forwarded == ["FORWARD gateway-1 rq_a 4004.500 10.0.0.1:80"]
+    output = run_host(
+        START_BATCH + REQUEST_BATCH + f"FRAME 1008.5 3\n{results}COMMIT\nFRAME 1050.5 4\n"
         "DONE gateway-1 rq_a 0 0 1 42.0 - - 10.0.0.1:80 busy_reqs:3\nCOMMIT\n"
     )
-    assert "BAIL_OUT" not in out and out.endswith("END 4\n")
+    assert "BAIL_OUT" not in output and output.endswith("END 4\n")
 
 
 EVENTS = [
@@ -111,7 +118,7 @@
 ]
 
 
-@pytest.mark.parametrize("name,text,event", EVENTS, ids=[e[0] for e in EVENTS])
+@pytest.mark.parametrize("name,text,event", EVENTS, ids=[event[0] for event in EVENTS])
 def test_events_are_decoded(name, text, event):
     count, parse = adapter.EVENTS[name]
     fields = text.split(" ")
@@ -135,18 +142,20 @@
 ]
 
 
-@pytest.mark.parametrize("action,line", ACTIONS, ids=[type(a).__name__ + line[-3:] for a, line in ACTIONS])
+@pytest.mark.parametrize(
+    "action,line", ACTIONS, ids=[type(action).__name__ + line[-3:] for action, line in ACTIONS]
+)
 def test_actions_are_encoded(action, line):
     assert adapter.encode("w", action) == line
 
 
-def test_unknown_events_are_skipped():
-    out = run(START + "FRAME 1004.5 2\nSOMETHING_NEW gateway-1 1 2 3\nCOMMIT\n")
-    assert out.endswith("END 2\n") and "BAIL_OUT" not in out
+def test_unknown_events_are_ignored():
+    output = run_host(START_BATCH + "FRAME 1004.5 2\nSOMETHING_NEW gateway-1 1 2 3\nCOMMIT\n")
+    assert output.endswith("END 2\n") and "BAIL_OUT" not in output
 
 
 @pytest.mark.parametrize(
-    "bad,line",
+    "lines,line",
     [
         ("hello\n", 7),
         ("FRAME x 2\n", 7),
@@ -159,28 +168,28 @@
         ("FRAME 1004.5 2\n", 8),
     ],
 )
-def test_a_malformed_line_ends_the_adapter_with_one_plain_message(bad, line):
-    done = command(START + bad)
-    assert done.returncode != 0
-    message = done.stderr.decode()
+def test_a_malformed_line_ends_the_adapter_with_a_one_line_error(lines, line):
+    process = run_adapter(START_BATCH + lines)
+    assert process.returncode != 0
+    message = process.stderr.decode()
     assert message.count("\n") == 1 and "Traceback" not in message
-    assert f"line {line}:" in message or bad.endswith("2\n")
+    assert f"line {line}:" in message or lines.endswith("2\n")
 
 
-def test_the_end_of_input_is_a_clean_exit():
-    done = command(START)
-    assert done.returncode == 0 and not done.stderr
+def test_the_end_of_the_input_ends_the_adapter_with_exit_status_0():
+    process = run_adapter(START_BATCH)
+    assert process.returncode == 0 and not process.stderr
 
 
-def test_a_failure_of_the_module_is_told(monkeypatch):
+def test_an_exception_of_the_module_is_reported_to_the_simulator(monkeypatch):
     monkeypatch.setattr(adapter.Gateway, "handle", lambda *_: 1 // 0)
-    assert "BAIL_OUT gateway-1 ZeroDivisionError" in run(START)
+    assert "BAIL_OUT gateway-1 ZeroDivisionError" in run_host(START_BATCH)
 
 
-def test_an_exit_forgets_the_instance():
+def test_exit_removes_the_gateway():
     with pytest.raises(adapter.MalformedInput):
-        run(START + "FRAME 1004.5 2\nEXIT gateway-1\nALARM gateway-1 t\nCOMMIT\n")
+        run_host(START_BATCH + "FRAME 1004.5 2\nEXIT gateway-1\nALARM gateway-1 t\nCOMMIT\n")
 
 
 def test_the_same_events_give_the_same_actions():
-    assert run(START + REQUEST) == run(START + REQUEST)
+    assert run_host(START_BATCH + REQUEST_BATCH) == run_host(START_BATCH + REQUEST_BATCH)
