--- a/tests/clock_simulation.py
+++ b/tests/clock_simulation.py
@@ -45,20 +45,20 @@
     """
 
     def __init__(self, steps_ms, seed=1, start_spread_ms=0.0):
-        self.now, self.events, self.event_count, self.random = 0.0, [], 0, Random(seed)
+        self.now, self.events, self.event_count, self.rng = 0.0, [], 0, Random(seed)
         # Totals and their creation times, by counter name.
         self.totals, self.call_count, self.is_counter_down = {}, 0, False
         self.lost_result_share = 0.0  # share of calls that time out after they were counted
         self.gateway_count = len(steps_ms)
         self.processes = []
         for step_ms in steps_ms:
-            self.start(step_ms, self.random.random() * start_spread_ms)
+            self.start(step_ms, self.rng.random() * start_spread_ms)
 
     def make_clock(self, machine, step_ms):
         origin_ms = START_TIME_MS + step_ms - machine.uptime_ms  # on its own clock
         checkpoint = ClockCheckpoint(machine.index, origin_ms)
         return FleetClock(
-            FleetTime(is_known=False), self.gateway_count, Random(self.random.random()), checkpoint
+            FleetTime(is_known=False), self.gateway_count, Random(self.rng.random()), checkpoint
         )
 
     def start(self, step_ms, after_ms=0.0, machine=None):
@@ -96,9 +96,7 @@
             )
             return
         self.call_count += 1
-        self.schedule(
-            self.random.uniform(*ROUND_TRIP_RANGE_MS) / 2, self.execute_call, process, call, self.now
-        )
+        self.schedule(self.rng.uniform(*ROUND_TRIP_RANGE_MS) / 2, self.execute_call, process, call, self.now)
 
     def execute_call(self, process, call, sent_at):
         if self.is_counter_down:
@@ -109,10 +107,10 @@
                 total, made_at = 0.0, self.now
             self.totals[call.name] = total + call.amount, made_at
             result = io.CounterResult(call.name, io.Outcome.OK, float(f"{total + call.amount:.7g}"))
-            if self.random.random() < self.lost_result_share:
+            if self.rng.random() < self.lost_result_share:
                 result = io.CounterResult(call.name, io.Outcome.TIMEOUT)
         self.schedule(
-            self.random.uniform(*ROUND_TRIP_RANGE_MS) / 2, self.deliver_result, process, result, sent_at
+            self.rng.uniform(*ROUND_TRIP_RANGE_MS) / 2, self.deliver_result, process, result, sent_at
         )
 
     def deliver_result(self, process, result, sent_at):
