--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""When backends started, as far as clocks that may have been stepped can tell."""
+"""The start of a backend is estimated correctly although wall clocks may have been stepped."""
 
 import math
 
@@ -10,70 +10,75 @@
 from cobaltline.slow_start import DISCOVERY_DELAY_MS, StartTimes
 from cobaltline.tracked_backend import TrackedBackend
 
-COLD_MS = 10000.0  # of the settings
-NOW = 1_800_000_000_000.0
+COLD_MS = 10000.0
+NOW_MS = 1_800_000_000_000.0
 
 
-def dated(stamp_ms, max_age_ms, dates=None, name="b"):
-    server = TrackedBackend(io.Backend(name, started_ms=stamp_ms), NOW, 0.0)
-    (dates or StartTimes(settings(), FleetTime(is_known=True))).record_start(server, NOW, max_age_ms)
-    return server
+def track_backend(start_ms, max_age_ms, start_times=None, backend_id="b"):
+    """Returns a backend listed for the first time at `NOW_MS`."""
+    backend = TrackedBackend(io.Backend(backend_id, started_ms=start_ms), NOW_MS, 0.0)
+    (start_times or StartTimes(settings(), FleetTime(is_known=True))).record_start(
+        backend, NOW_MS, max_age_ms
+    )
+    return backend
 
 
 @pytest.mark.parametrize(
-    "ago_ms,max_age_ms,age_ms",
+    "listed_age_ms,max_age_ms,age_ms",
     [
-        (2000.0, DISCOVERY_DELAY_MS, 2000.0),  # told late, as discovery may
-        (3_600_000.0, DISCOVERY_DELAY_MS, 0.0),  # later than it may: a clock is off
+        (2000.0, DISCOVERY_DELAY_MS, 2000.0),  # within the delay of discovery
+        (3_600_000.0, DISCOVERY_DELAY_MS, 0.0),  # beyond that delay: a clock is wrong
         (-3_600_000.0, DISCOVERY_DELAY_MS, 0.0),
-        (30_000.0, DISCOVERY_DELAY_MS + 40_000.0, 30_000.0),  # discovery was silent meanwhile
-        (3_600_000.0, math.inf, 3_600_000.0),  # on the list at the start
+        (30_000.0, DISCOVERY_DELAY_MS + 40_000.0, 30_000.0),  # within an outage of discovery
+        (3_600_000.0, math.inf, 3_600_000.0),  # on the first list
         (-3_600_000.0, math.inf, 0.0),
     ],
 )
-def test_a_stamp_is_believed_as_far_as_nothing_contradicts_it(ago_ms, max_age_ms, age_ms):
-    assert dated(NOW - ago_ms, max_age_ms).started_at == NOW - age_ms
+def test_a_listed_start_is_used_unless_it_is_contradicted(listed_age_ms, max_age_ms, age_ms):
+    assert track_backend(NOW_MS - listed_age_ms, max_age_ms).started_at == NOW_MS - age_ms
 
 
-def test_a_stamp_of_nothing_is_long_ago():
-    assert dated(0.0, DISCOVERY_DELAY_MS).started_at == -math.inf
+def test_a_backend_without_a_listed_start_is_warm():
+    assert track_backend(0.0, DISCOVERY_DELAY_MS).started_at == -math.inf
 
 
-def test_of_those_at_the_start_the_last_few_are_as_young_as_the_list_allows():
-    dates = StartTimes(settings(), FleetTime(is_known=True))
-    old, new, newest = (NOW - 7_200_000.0 - ms for ms in (3_600_000.0, 4_000.0, 0.0))
-    dates.load_first_list([io.Backend(f"b{i}", started_ms=old) for i in range(5)])
-    assert dated(old, math.inf, dates).started_at == old  # all alike: nothing tells which are young
-    dates.load_first_list(
+def test_a_minority_of_recent_starts_on_the_first_list_is_taken_to_be_recent():
+    start_times = StartTimes(settings(), FleetTime(is_known=True))
+    old_ms, new_ms, newest_ms = (NOW_MS - 7_200_000.0 - ms for ms in (3_600_000.0, 4_000.0, 0.0))
+    start_times.load_first_list([io.Backend(f"b{i}", started_ms=old_ms) for i in range(5)])
+    # All starts are alike, so none is known to be recent.
+    assert track_backend(old_ms, math.inf, start_times).started_at == old_ms
+    start_times.load_first_list(
         [
-            *(io.Backend(f"b{i}", started_ms=old) for i in range(5)),
-            io.Backend("c", started_ms=new),
-            io.Backend("d", started_ms=newest),
+            *(io.Backend(f"b{i}", started_ms=old_ms) for i in range(5)),
+            io.Backend("c", started_ms=new_ms),
+            io.Backend("d", started_ms=newest_ms),
         ]
     )
-    assert dated(old, math.inf, dates).started_at == old
-    assert dated(new, math.inf, dates).started_at == NOW - 4_000.0
-    assert dated(newest, math.inf, dates).started_at == NOW
-
-
-def test_starts_are_dated_anew_when_the_fleets_time_is_known():
-    time = FleetTime(is_known=False)
-    dates = StartTimes(settings(), time)
-    server = dated(NOW - 3_600_000.0 - 1000.0, math.inf, dates)  # our own clock is an hour ahead
-    time.offset_ms, time.is_known = -3_600_000.0, True
-    dates.on_offset_changed([server])
-    assert server.started_at == NOW - 1000.0
-
-
-def test_what_left_and_comes_back_with_its_stamp_is_no_other_process():
-    dates = StartTimes(settings(), FleetTime(is_known=True))
-    server = dated(NOW - 1000.0, DISCOVERY_DELAY_MS, dates)
-    dates.forget([server])
-    again = TrackedBackend(io.Backend("b", started_ms=NOW - 1000.0), NOW, 0.0)
-    dates.record_start(again, NOW + 60_000.0, DISCOVERY_DELAY_MS)
-    assert again.started_at == server.started_at
-    assert dates.warm_share(again, NOW + 60_000.0) == 1.0
-    dates.forget([again])
-    other = TrackedBackend(io.Backend("b", started_ms=NOW - 500.0), NOW, 0.0)
-    dates.record_start(other, NOW + 60_000.0, DISCOVERY_DELAY_MS)
-    assert dates.warm_share(other, NOW + 60_000.0) == settings().cold_from
+    assert track_backend(old_ms, math.inf, start_times).started_at == old_ms
+    assert track_backend(new_ms, math.inf, start_times).started_at == NOW_MS - 4_000.0
+    assert track_backend(newest_ms, math.inf, start_times).started_at == NOW_MS
+
+
+def test_starts_are_estimated_again_when_the_fleets_time_becomes_known():
+    fleet_time = FleetTime(is_known=False)
+    start_times = StartTimes(settings(), fleet_time)
+    # The own clock is an hour ahead.
+    backend = track_backend(NOW_MS - 3_600_000.0 - 1000.0, math.inf, start_times)
+    fleet_time.offset_ms, fleet_time.is_known = -3_600_000.0, True
+    start_times.on_offset_changed([backend])
+    assert backend.started_at == NOW_MS - 1000.0
+
+
+def test_a_backend_that_returns_with_the_same_start_is_the_same_process():
+    start_times = StartTimes(settings(), FleetTime(is_known=True))
+    backend = track_backend(NOW_MS - 1000.0, DISCOVERY_DELAY_MS, start_times)
+    start_times.forget([backend])
+    returned = TrackedBackend(io.Backend("b", started_ms=NOW_MS - 1000.0), NOW_MS, 0.0)
+    start_times.record_start(returned, NOW_MS + 60_000.0, DISCOVERY_DELAY_MS)
+    assert returned.started_at == backend.started_at
+    assert start_times.warm_share(returned, NOW_MS + 60_000.0) == 1.0
+    start_times.forget([returned])
+    restarted = TrackedBackend(io.Backend("b", started_ms=NOW_MS - 500.0), NOW_MS, 0.0)
+    start_times.record_start(restarted, NOW_MS + 60_000.0, DISCOVERY_DELAY_MS)
+    assert start_times.warm_share(restarted, NOW_MS + 60_000.0) == settings().cold_from
--- a/tests/testbed.py
+++ b/tests/testbed.py
@@ -1,6 +1,7 @@
-"""Real gateways that share a counter, among stand-ins on loopback, each with a wall clock of its own.
+"""Runs real gateways, each with a stepped wall clock, and stand-ins for a counter, backends and discovery.
 
-A gateway's wall clock is off from its start, as after a step and a restart; its monotonic clock runs on.
+All are on the loopback interface. The wall clock of a gateway is wrong from its start, as after a step and a
+restart; its monotonic clock is right.
 """
 
 import asyncio
@@ -15,8 +16,8 @@
 from scale.program import BASE_SETTINGS, Program
 from scale.standins import BackendList, Backends, Counter, DiscoveryAgent
 
-STEPPED = "import time\nwall = time.time\ntime.time = lambda: wall() + {}\n"
-RATE_UNITS_PER_S, BURST_UNITS = 0.2, 20.0  # units a second, and at once
+CLOCK_STEP_PATCH = "import time\nwall = time.time\ntime.time = lambda: wall() + {}\n"
+RATE_UNITS_PER_S, BURST_UNITS = 0.2, 20.0  # of the plans in `PLANS`
 PLANS = {
     "quota": {"name": "quota", "unitsPerS": RATE_UNITS_PER_S, "depth": BURST_UNITS},
     "ceiling": {
@@ -28,100 +29,112 @@
         "tolerance": 2.4,
     },
 }
-READY_S = 30.0
-OWN_CLOCK = re.compile(r"fleet time: own clock ([+-]\d+) ms")  # as a gateway logs it
-RATE_PER_S = 300.0
-WORK_S = 0.02  # of a request: so several are out at once, and all backends get some
-WARM_BACKENDS = 6  # backends that have been up for long; the next one starts
+TIMEOUT_S = 30.0
+OWN_CLOCK_LOG = re.compile(r"fleet time: own clock ([+-]\d+) ms")  # in the gateway's log
+LOAD_RATE_PER_S = 300.0
+SERVICE_TIME_S = 0.02  # long enough for concurrent requests, so that all backends receive some
+WARM_BACKEND_COUNT = 6  # backends that started long ago; a cold one has this number as its index
 
 
 class BusyCounter(Counter):
-    """Turns each call away while it is `busy`."""
+    """A counter that refuses each call while `is_busy`."""
 
-    busy = False
+    is_busy = False
 
     def answer(self, line):
-        return b"busy\r\n" if self.busy else super().answer(line)
+        return b"busy\r\n" if self.is_busy else super().answer(line)
 
 
 class Testbed:
-    """Stand-ins, and gateways by number, each with a wall clock of its own."""
+    """The stand-ins and the gateways. `stack` closes all of them; `home` is a directory for their files."""
 
     def __init__(self, stack, home):
         self.stack, self.home = stack, home
         self.programs, self.agents = {}, {}
 
     async def start(self, backends):
-        self.backends, self.counter = await Backends(WORK_S).start(), await BusyCounter().start()
+        """Starts the stand-ins, with the given number of backends."""
+        self.backends, self.counter = await Backends(SERVICE_TIME_S).start(), await BusyCounter().start()
         self.stack.callback(self.backends.close)
         self.stack.callback(self.counter.close)
         self.backend_list = BackendList(backends, self.backends.port)
 
-    async def start_gateway(self, me, step_s=0.0, **obligations):
-        if me in self.programs:
-            await self.programs[me].kill()
-        if me not in self.agents:
-            self.agents[me] = await DiscoveryAgent(self.backend_list).start()
-            self.stack.callback(self.agents[me].close)
-        settings = {**BASE_SETTINGS, "me": me, "instances": 2, "plans": [{"name": "free"}, *PLANS.values()]}
+    async def start_gateway(self, index, clock_step_s=0.0, **obligations):
+        """Starts a gateway with its wall clock ahead by `clock_step_s`, or kills and restarts it."""
+        if index in self.programs:
+            await self.programs[index].kill()
+        if index not in self.agents:
+            self.agents[index] = await DiscoveryAgent(self.backend_list).start()
+            self.stack.callback(self.agents[index].close)
+        settings = {
+            **BASE_SETTINGS,
+            "me": index,
+            "instances": 2,
+            "plans": [{"name": "free"}, *PLANS.values()],
+        }
         settings["obligations"] = {**BASE_SETTINGS["obligations"], **obligations}
         program = Program(
             self.home,
             settings,
-            self.agents[me].port,
+            self.agents[index].port,
             self.counter.port,
             self.backend_list.full_list(),
-            patch=STEPPED.format(step_s),
-            host=f"127.0.0.{2 + me}",
+            patch=CLOCK_STEP_PATCH.format(clock_step_s),
+            host=f"127.0.0.{2 + index}",
         )
         await program.start()
         self.stack.push_async_callback(program.kill)
-        assert await program.wait_until_ready(READY_S) is not None
-        self.programs[me] = program
-
-    async def stop_gateway(self, me):
-        """Tell it to end, and wait until it has."""
-        self.programs[me].process.terminate()
-        assert await asyncio.wait_for(self.programs[me].process.wait(), READY_S) == 0
-
-    async def fleet_ahead_s(self, me, step_s):
-        """The fleet's time less real time, as that gateway came to know it."""
-        async with asyncio.timeout(READY_S):
-            while not (found := OWN_CLOCK.findall(self.programs[me].log_tail())):
+        assert await program.wait_until_ready(TIMEOUT_S) is not None
+        self.programs[index] = program
+
+    async def stop_gateway(self, index):
+        """Sends SIGTERM to a gateway and waits for its orderly end."""
+        self.programs[index].process.terminate()
+        assert await asyncio.wait_for(self.programs[index].process.wait(), TIMEOUT_S) == 0
+
+    async def fleet_time_error_s(self, index, clock_step_s):
+        """Returns by how much the fleet's time that a gateway has learned is ahead of real time."""
+        async with asyncio.timeout(TIMEOUT_S):
+            while not (matches := OWN_CLOCK_LOG.findall(self.programs[index].log_tail())):
                 await asyncio.sleep(0.05)
-        return int(found[-1]) / 1000.0 + step_s
+        return int(matches[-1]) / 1000.0 + clock_step_s
 
-    async def count_served(self, plan, each, gateways=(0, 1), customer=1):
-        """So many requests of one customer through each gateway; how many were served."""
-        served, out = 0, asyncio.Queue()
-        connections = [ConnectionPool(self.programs[me].address) for me in gateways]
-        for _ in range(each):
+    async def count_served(self, plan, requests_per_gateway, gateways=(0, 1), customer=1):
+        """Sends requests of one customer through each gateway; returns how many were served."""
+        served_count, statuses = 0, asyncio.Queue()
+        connections = [ConnectionPool(self.programs[index].address) for index in gateways]
+        for _ in range(requests_per_gateway):
             for connection in connections:
                 connection.send_request(
-                    build_request(customer, plan, spread=2), lambda status, _: out.put_nowait(status)
+                    build_request(customer, plan, spread=2), lambda status, _: statuses.put_nowait(status)
                 )
             await asyncio.sleep(0.02)
-        for _ in range(each * len(connections)):
-            served += await asyncio.wait_for(out.get(), READY_S) == 200
+        for _ in range(requests_per_gateway * len(connections)):
+            served_count += await asyncio.wait_for(statuses.get(), TIMEOUT_S) == 200
         for connection in connections:
             connection.close()
-        return served
+        return served_count
 
-    async def relative_load(self, me, number, seconds):
-        """Of requests without a quota: what this backend gets, beside the mean of the others."""
-        before = dict(self.backends.request_counts)
-        await Client(self.programs[me].address).run_open_loop(RATE_PER_S, seconds)
-        got = {n: count - before.get(n, 0) for n, count in self.backends.request_counts.items()}
-        own = got.pop(number, 0)
-        return own / (sum(got.values()) / WARM_BACKENDS)
+    async def relative_load(self, index, backend_index, seconds):
+        """Returns the number of requests that a backend receives, relative to the mean of the others."""
+        counts_before = dict(self.backends.request_counts)
+        await Client(self.programs[index].address).run_open_loop(LOAD_RATE_PER_S, seconds)
+        counts = {
+            backend: count - counts_before.get(backend, 0)
+            for backend, count in self.backends.request_counts.items()
+        }
+        own_count = counts.pop(backend_index, 0)
+        return own_count / (sum(counts.values()) / WARM_BACKEND_COUNT)
 
 
-def run_scene(scene, backends=WARM_BACKENDS):
-    async def play():
+def run_scene(scene, backends=WARM_BACKEND_COUNT):
+    """Runs the coroutine function `scene` with a started `Testbed`."""
+
+    async def run_in_testbed():
         with tempfile.TemporaryDirectory() as home:
             async with contextlib.AsyncExitStack() as stack:
-                site = Testbed(stack, Path(home))
-                await site.start(backends)
-                await scene(site)
+                testbed = Testbed(stack, Path(home))
+                await testbed.start(backends)
+                await scene(testbed)
 
-    run(play)
+    run(run_in_testbed)
