--- a/cobaltline/fleet_clock.py
+++ b/cobaltline/fleet_clock.py
@@ -1,7 +1,7 @@
 """Keeps the fleet's time: a clock that all gateways agree on, independent of their wall clocks.
 
 The windows of the shared counts are numbered by it. The wall clock of a machine may be stepped, and a
-restarted process reads it anew, so gateways compare their clocks through the counter, which is all that they
+restarted process reads it again, so gateways compare their clocks through the counter, which is all that they
 share.
 
 **The timestamp.** The count `fleet-time` holds the fleet's time at which a gateway last set it. It is read by
--- a/cobaltline/quota.py
+++ b/cobaltline/quota.py
@@ -189,7 +189,7 @@
         cost = self.waiting[0].cost
         own_part = int(self.capacity * self.share)
         lease = min(own_part, int(self.spent_last_period * share) + cost)
-        return max(lease, sum(r.cost for r in self.waiting))
+        return max(lease, sum(request.cost for request in self.waiting))
 
     def take_unreported(self) -> int:
         """Returns what the next call has to add to the count besides its lease, and resets it."""
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -118,7 +118,7 @@
 ]
 
 
-@pytest.mark.parametrize("name,text,event", EVENTS, ids=[event[0] for event in EVENTS])
+@pytest.mark.parametrize("name,text,event", EVENTS, ids=[case[0] for case in EVENTS])
 def test_events_are_decoded(name, text, event):
     count, parse = adapter.EVENTS[name]
     fields = text.split(" ")
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize(
-    "action,line", ACTIONS, ids=[type(action).__name__ + line[-3:] for action, line in ACTIONS]
+    "action,line", ACTIONS, ids=[type(case).__name__ + line[-3:] for case, line in ACTIONS]
 )
 def test_actions_are_encoded(action, line):
     assert adapter.encode("w", action) == line
