--- a/cobaltline/fleet_clock.py
+++ b/cobaltline/fleet_clock.py
@@ -135,12 +135,12 @@
         if self._pending_call is not None or now < due_at:
             return None
         self._needed_read_at = now + NEEDED_READ_INTERVAL_MS * (0.5 + self._random.random())
-        return self._next_restore_call(now) or self._start_read(now)
+        return self._restore_call(now) or self._start_read(now)
 
     def stop(self, now: float) -> io.CounterAdd | None:
         """Stores the time for the next process, at once or after the result of the unanswered call."""
         self._request_store()
-        return None if self._pending_call is not None else self._store_checkpoint(now)
+        return None if self._pending_call is not None else self._store_call(now)
 
     def _start_read(self, now: float) -> io.CounterAdd:
         self._read_sent_at = now
@@ -155,11 +155,9 @@
         call, self._pending_call = self._pending_call, None
         if result.outcome is not Outcome.OK or result.total is None:
             self._on_failure(now, call)
-            return self._store_checkpoint(now)
+            return self._store_call(now)
         self._retry_ms = MIN_RETRY_MS
-        return self._on_total(now, call, round(result.total), result.elapsed_ms) or self._store_checkpoint(
-            now
-        )
+        return self._on_total(now, call, round(result.total), result.elapsed_ms) or self._store_call(now)
 
     def _on_total(
         self, now: float, call: PendingCall, total: int, round_trip_ms: float
@@ -193,7 +191,7 @@
 
     # Checkpoints: from the previous process, and for the next one.
 
-    def _next_restore_call(self, now: float) -> io.CounterAdd | None:
+    def _restore_call(self, now: float) -> io.CounterAdd | None:
         """Returns the call that reads the next checkpoint; these come before the first timestamp."""
         if self._checkpoint is None or self.time.is_known:
             return None
@@ -211,7 +209,7 @@
         if 0 < total <= MAX_TIMESTAMP:
             offset_ms = wrap_difference_ms(self._checkpoint.decode(total, now) - now)
             self._restored_offset, self._names_to_restore = (is_exact(total), offset_ms), []
-        return self._next_restore_call(now) or self._start_read(now)
+        return self._restore_call(now) or self._start_read(now)
 
     def _apply_checkpoint(self, now: float, total: int, round_trip_ms: float) -> None:
         """Restores the time from the checkpoint that was read, if the timestamp in `total` allows it.
@@ -235,7 +233,8 @@
         if self._checkpoint is not None and self.time.is_known:
             self._store_tries_left = STORE_TRY_COUNT
 
-    def _store_checkpoint(self, now: float) -> io.CounterAdd | None:
+    def _store_call(self, now: float) -> io.CounterAdd | None:
+        """Returns the call that stores a checkpoint, or None if none is requested or the time is unproven."""
         estimate = self._estimate
         offset_ms = self.time.offset_ms if estimate.is_established else estimate.proven_offset_ms
         if not self._store_tries_left or offset_ms is None:
--- a/cobaltline/quota.py
+++ b/cobaltline/quota.py
@@ -95,7 +95,7 @@
         # Level of the bucket after the last lease, and whether that counts as well filled.
         self.level, self.is_filled = 0.0, False
         self.uncounted_requests = 0  # requests admitted and not yet counted
-        self.spent_this_period = self.spent_last_period = 0  # own use in periods of `fill_ms`
+        self.period_use = self.last_period_use = 0  # own use in periods of `fill_ms`
         self.period_started_at = now
         self.last_arrival_at, self.quick_streak = 0.0, 0  # consecutive short gaps
         # Mean gap between requests at this gateway; the initial value assumes a quarter of the quota.
@@ -144,7 +144,7 @@
         return self.fleet_time.knows_window(now, self.window_shift_ms)
 
     def previous_window(self) -> int:
-        """Returns the number of the window before this one; window numbers wrap around."""
+        """Returns the number of the previous window; window numbers wrap around."""
         return (self.window - 1) % WINDOW_COUNT
 
     def record_arrival(self, now: float) -> None:
@@ -159,12 +159,8 @@
         """Brings the state up to date: starts new periods and windows, and expires unspent leases."""
         if now - self.period_started_at >= self.fill_ms:
             if now - self.period_started_at >= 2.0 * self.fill_ms:  # all of it has refilled since
-                self.spent_this_period = self.uncounted_tokens = self.uncounted_requests = 0
-            self.spent_last_period, self.spent_this_period, self.period_started_at = (
-                self.spent_this_period,
-                0,
-                now,
-            )
+                self.period_use = self.uncounted_tokens = self.uncounted_requests = 0
+            self.last_period_use, self.period_use, self.period_started_at = self.period_use, 0, now
         if self.tokens > 0 and now - self.leased_at > self.fill_ms:
             self.expired_tokens += self.tokens
             self.tokens = 0
@@ -174,7 +170,7 @@
 
     def spend(self, cost: int) -> None:
         """Records `cost` as used; a negative cost takes back an earlier one."""
-        self.spent_this_period += cost
+        self.period_use += cost
         self.local_tokens -= cost
 
     def lease_size(self, direct_share: float) -> int:
@@ -188,7 +184,7 @@
         share = max(LEASE_SHARE, 1.0 - direct_share)
         cost = self.waiting[0].cost
         own_part = int(self.capacity * self.share)
-        lease = min(own_part, int(self.spent_last_period * share) + cost)
+        lease = min(own_part, int(self.last_period_use * share) + cost)
         return max(lease, sum(request.cost for request in self.waiting))
 
     def take_unreported(self) -> int:
@@ -203,8 +199,7 @@
         return own
 
     def apply_total(self, now: float, total: int) -> tuple[bool, int]:
-        """Sets `level`, the level of the bucket before the lease, from the window's total including the
-        lease.
+        """Sets `level` to the bucket's level before the lease; `total` is the window's count with the lease.
 
         Returns whether this was the window's first call, and the correction to add to the count.
         """
@@ -214,10 +209,7 @@
         opens = total == self.added and elapsed_ms < self.fill_ms and self.counted_window != self.window
         self.counted_window = self.window
         if total < self.added:  # the counter restarted empty: restore this gateway's recent use
-            self.added, max_level = (
-                total,
-                max(0.0, max_level - self.spent_this_period - self.spent_last_period),
-            )
+            self.added, max_level = total, max(0.0, max_level - self.period_use - self.last_period_use)
             correction = max(0, int(level_before_lease - max_level))
         elif level_before_lease > (1.0 + OVERFLOW_SHARE) * self.capacity and not opens:
             correction = int(level_before_lease - self.capacity)
@@ -227,7 +219,7 @@
         return opens, correction
 
     def add_lease(self, now: float, keep: int) -> None:
-        """Keeps `keep` tokens of the lease."""
+        """Adds the `keep` tokens of a lease that are kept."""
         self.tokens += keep
         self.leased_at = now
         self._reduce_level(keep)
