--- a/cobaltline/interface.py
+++ b/cobaltline/interface.py
@@ -167,7 +167,7 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client sent a request. It is answered by `Send`, `Reject` or `Fail`, at once or later."""
+    """A client sent a request. It leads to `Send`, `Reject` or `Fail`, at once or later."""
 
     request: str  # unique among the requests in progress
     customer: str
@@ -183,7 +183,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """The first part of a streamed response has gone to the client: the request can no longer be repeated."""
+    """A streamed response has begun: from now on the request is neither hedged nor given up."""
 
     request: str
     attempt: int
