--- a/cobaltline/__init__.py
+++ b/cobaltline/__init__.py
@@ -1,4 +1,4 @@
-"""cobaltline: gateway decisions that keep each customer of a shared back end to its plan."""
+"""The decision module of a gateway that keeps each customer of a shared back end to its plan."""
 
 from .gateway import Gateway
 from .interface import Settings
--- a/cobaltline/gateway.py
+++ b/cobaltline/gateway.py
@@ -1,4 +1,8 @@
-"""Every decision of a cobaltline gateway. Its types, events and actions: `cobaltline/interface.py`."""
+"""The decisions of a gateway: quotas, choice of a backend, retries, hedging, limit on attempts in flight.
+
+`Gateway` does no I/O: the host passes in events with their time and carries out the actions that it returns.
+Settings, events and actions are defined in `cobaltline/interface.py`.
+"""
 
 from __future__ import annotations
 
@@ -19,859 +23,1183 @@
 from .slow_start import DISCOVERY_DELAY_MS, MIN_OFFSET_CHANGE_MS, RECENT_COUNT_FACTOR, ColdPacer, StartTimes
 from .tracked_backend import TrackedBackend
 
-DIRECT_GAIN = 0.002  # a good counter call adds so much to the share of borrows that go to the counter at once
-DIRECT_LOSS = 0.5  # and a failed one leaves so much of it; the rest is asked of the customer's home gateway
-SHORT_WAIT = 0.125  # of the time a store fills in: a home waits so long where its borrow came back short
-AWAY_MS = 1000.0  # a home that did not answer is passed over so long, or until it is heard
-# a message: version, kind, nonce, amount, wait, clock; then text, then crc32
-HEADER = struct.Struct(">BBIIII")
-WIRE_VERSION, BORROW_REQUEST, BORROW_GRANT, CLOCK = 1, 1, 2, 0xFFFFFFFF
-GAP_FIRST_MS = 8.0  # spacing of counter calls after a first failure; doubles from there
-GAP_MOST_MS = 800.0  # and at most this, so that a counter that is back is found within a second
-GAP_EASE = 0.93  # where calls have crowded the counter, a good one shortens the spacing to so much of it
-GAP_TIGHT = 1.1  # and one that was good but slow lengthens it so
-SLOW_SHARE = 0.5  # of what the way there and back leaves of the time that a call may take: more shows a line
-WAY_WEIGHT = 0.01  # of one answer that took longer, in the time of the way: a counter may move farther off
-CALL_SIZES = 4.0  # a small request waits for a call as long as so many spacings at most, a large one less
-SCARCE_SHARE = 0.5  # of its store: while calls are scarce, who was found short is asked about again with that
-DOUBT_PART = 0.03  # of the price of a call, as some requests are let in before it tells
-DOUBT = 0.05  # share of what is trusted that is taken to find no room, before anything is known
-UNCOUNTED_MOST = 8  # requests let in on trust before a call counts them
-COST_WEIGHT = 0.02  # of one request in the mean cost, and of one borrow in the share that was found short
-RTO_DEVS = 4.0  # deviations above the mean latency before an answer is missed (as TCP does)
-OPENING_TRIES = 3  # calls that ask how a window ended before what waits for that is given up
-HEDGE_SHARE = 0.1  # further attempts a request may cost on average
-HEDGE_BURST = 10.0  # and at once
-AVOID_TIMES = 8.0  # a backend without service counts as slow as this many aims at most; each failure doubles
-TRIAL_LOAD = 4.0  # attempts at a backend whose last one failed count so much: few at a time until one is well
-SPOILT_MOST = 3  # answers spoilt or broken off in a row that say nothing against a backend
-CROSS_MALUS = 1.15  # a backend across zones counts as so much slower, where crossing has a price
-# backends all weighed for a choice; where there are more, own attempts tell too little of each
+# Borrowing, counter calls and timeouts
+DIRECT_SHARE_GAIN = 0.002  # added by a successful counter call to the share of borrows sent to the counter
+DIRECT_SHARE_FAILURE_FACTOR = 0.5  # applied to that share by a failed call; home gateways get the rest
+HOME_RETRY_SHARE = 0.125  # of the bucket's fill time: least wait of a home gateway after a short borrow
+PEER_SKIP_MS = 1000.0  # a home gateway that does not answer is skipped for this time, or until it sends
+# Messages between gateways: version, kind, nonce, amount (milli-tokens), wait (ms), sender's clock (ms), then
+# text, then the CRC-32 of all this
+MESSAGE_HEADER = struct.Struct(">BBIIII")
+MESSAGE_VERSION, BORROW_REQUEST, BORROW_GRANT, MAX_UINT32 = 1, 1, 2, 0xFFFFFFFF
+MIN_CALL_GAP_MS = 8.0  # between counter calls after a first failure; doubles with each further one
+MAX_CALL_GAP_MS = 800.0  # bounds the time until a counter that has recovered is called again
+GAP_DECREASE_FACTOR = 0.93  # of a successful call, at gaps up to the one set by the last first failure
+GAP_INCREASE_FACTOR = 1.1  # of a successful but slow call
+CONGESTED_DELAY_SHARE = 0.5  # of the counter timeout less the round trip: a longer delay shows a queue
+COUNTER_RTT_WEIGHT = 0.01  # of a slower answer in the round-trip estimate, as the counter may move away
+MAX_CALL_DELAY_GAPS = 4.0  # longest delay of a small request's counter call, in call gaps
+THROTTLED_REFILL_SHARE = 0.5  # of the bucket, to be refilled before a retry while calls are spaced
+MAX_OVERRUN_COST_SHARE = 0.03  # of a counter call's price: expected overrun cost accepted to save the call
+INITIAL_OVERRUN_SHARE = 0.05  # of the requests admitted before they are counted
+MAX_UNCOUNTED_REQUESTS = 8  # of a customer, admitted before a call counts them
+BORROW_AVERAGE_WEIGHT = 0.02  # of one sample in the running means over borrows
+TIMEOUT_DEVIATIONS = 4.0  # above the mean latency: then a backend's answer is overdue, as in TCP
+MAX_PREVIOUS_TOTAL_TRIES = 3  # counter calls for the total of the previous window
+
+# Retries, hedging and the choice of a backend
+RETRY_TOKENS_PER_REQUEST = 0.1  # added to the budget of retries and hedges
+MAX_RETRY_TOKENS = 10.0
+MAX_PENALTY_FACTOR = 8.0  # highest latency assumed of a failing backend, in target latencies
+FAILED_LOAD_FACTOR = 4.0  # weight of open attempts at a backend whose last attempt failed
+MAX_UNUSABLE_RESPONSES = 3  # in a row, without a penalty for the backend
+CROSS_ZONE_FACTOR = 1.15  # on the latency of backends in other zones, where crossing has a price
+# With more backends than this, candidates are sampled: own attempts tell too little of each backend.
 SAMPLE_SIZE = 24
-CHOICES = 6  # and so many are drawn by their present capacity
-CAPACITY_WEIGHT = 0.02  # of one backend that was drawn, in the mean present capacity and the number of all
-TARGET_AIM = 0.32  # latency, as a share of the aim, above which backends count as crowded
-INITIAL_SLOTS = 2.0  # attempts out for each backend, all gateways together, before anything is known
-HOLD_ODDS = 1.5  # a wait is worth it while so many times its expected length still leaves time to be served
-PACE_BURST = 3.0  # a limit on own attempts out of less than this is kept as a pace, so many at once
-MEMORY_MS = 2000.0  # time over which answers are averaged where few come; each weighs 0.05 at least
-FLEET_STEP = 0.1  # how far the limit on own attempts out moves at most in one mean latency
-STALL_MS = 100.0  # an alarm later than this shows that the gateway itself stood still
-CLOCK_SEED = 0x5BD1E995  # draws of the fleet's clock change no others
-IDLE_MS = 10000.0  # customers unseen this long are dropped
-KEEP_MS = 120000.0  # but those whose store was well filled: a gateway of a large set sees one seldom
-RESUBSCRIBE_MS = 2500.0  # after a failed call for lists, at most: a change counts as told 6 s after its time
-
-
-class Ask:
-    """What another gateway asks of this one as a customer's home; waits like a request."""
+MAX_CANDIDATES = 6  # drawn by present capacity
+CAPACITY_AVERAGE_WEIGHT = 0.02  # of one sample in the means of capacity and of the number of usable backends
+
+# Limit on the attempts in flight
+OVERLOAD_LATENCY_SHARE = 0.32  # of the target latency: above this, the backends count as overloaded
+INITIAL_ATTEMPTS_PER_BACKEND = 2.0  # limit at the start, all gateways together
+QUEUE_WAIT_FACTOR = 1.5  # margin on the expected wait of a request that is queued
+PACING_LIMIT = 3.0  # a limit below this is enforced as a rate, with bursts of this size
+AVERAGING_MS = 2000.0  # half-life of the send rate; time over which sparse answers are averaged
+LIMIT_STEP_SHARE = 0.1  # largest change of the limit within one mean latency
+
+# Timers, random numbers and cleanup
+STALL_MS = 100.0  # a timer that runs later than this shows that the gateway itself was stalled
+CLOCK_SEED_MASK = 0x5BD1E995  # gives the fleet clock a random sequence of its own
+CUSTOMER_IDLE_MS = 10000.0  # idle customers are dropped after this time; also the interval between sweeps
+FILLED_CUSTOMER_IDLE_MS = 120000.0  # for customers whose bucket was well filled
+MAX_RESUBSCRIBE_DELAY_MS = 2500.0  # after a failed call for the list; changes have to be followed within 6 s
+
+
+class PeerBorrow:
+    """A borrow that another gateway requests from this one as a home gateway of the customer.
+
+    It waits in the bucket beside requests. `cost` is in milli-tokens.
+    """
 
     def __init__(self, bucket: Bucket, cost: int, peer: int, nonce: int):
         self.bucket, self.cost, self.peer, self.nonce, self.done = bucket, cost, peer, nonce, False
 
 
 class Attempt:
-    def __init__(self, backend: TrackedBackend, no: int, sent: float):
-        self.backend, self.no, self.sent, self.out, self.may_run = backend, no, sent, True, True
+    """One attempt of a request at a backend.
+
+    `may_have_run` is false once the attempt has ended without having been executed.
+    """
+
+    def __init__(self, backend: TrackedBackend, number: int, sent_at: float):
+        self.backend, self.number, self.sent_at, self.is_open, self.may_have_run = (
+            backend,
+            number,
+            sent_at,
+            True,
+            True,
+        )
 
 
 class Request:
-    def __init__(self, event: io.RequestArrived, cls: io.RequestClass, bucket: Bucket, now: float):
-        self.id, self.cls, self.bucket = event.request, cls, bucket
+    """A request that is not answered yet.
+
+    `cost` and `charged` are in milli-tokens, `deadline_at` and `target_at` are times of the host's clock.
+    """
+
+    def __init__(self, event: io.RequestArrived, request_class: io.RequestClass, bucket: Bucket, now: float):
+        self.id, self.request_class, self.bucket = event.request, request_class, bucket
         self.cost = max(0, round(event.units * MILLI_PER_UNIT))
-        self.deadline = event.deadline_ms
-        self.aim = min(now + cls.target_latency_ms, self.deadline)
+        self.deadline_at = event.deadline_ms
+        self.target_at = min(now + request_class.target_latency_ms, self.deadline_at)
         self.attempts: list[Attempt] = []
-        self.done = self.stream = False
-        self.drawn = False  # a backend has been drawn for it
-        self.paid = 0
-        self.price = cls.worth * bucket.plan.price
+        self.done = self.is_stream = False
+        self.was_drawn = False  # set by the first draw of candidates
+        self.charged = 0
+        self.priority = request_class.worth * bucket.plan.price
+
+    def first_possible_run(self) -> Attempt | None:
+        """The first attempt that may have been executed; it sets the scope and age of an idempotency key."""
+        return next((a for a in self.attempts if a.may_have_run), None)
+
+    def may_reject(self) -> bool:
+        """Whether a new try by the client is safe, so that the request may be rejected instead of failed."""
+        anywhere = (
+            self.request_class.idempotency is Idempotency.KEYED and self.request_class.key_scope == "all"
+        )
+        return (
+            anywhere
+            or self.request_class.idempotency is Idempotency.SAFE
+            or self.first_possible_run() is None
+        )
 
-    def anchor(self) -> Attempt | None:
-        return next((a for a in self.attempts if a.may_run), None)
 
-    def may_refuse(self) -> bool:
-        anywhere = self.cls.idempotency is Idempotency.KEYED and self.cls.key_scope == "all"
-        return anywhere or self.cls.idempotency is Idempotency.SAFE or self.anchor() is None
+class Gateway:
+    """The decision module of one gateway process.
 
+    The host calls `handle` for every event, in order, and carries out the returned actions. The same
+    settings, seed and events give the same actions. Times are in ms of the host's clock.
+    """
 
-class Gateway:
     def __init__(self, settings: io.Settings, seed: int):
-        self.cfg, self.rng = settings, random.Random(seed)
+        self.settings, self.rng = settings, random.Random(seed)
         self.fleet_time = FleetTime(is_known=settings.clocks_in_sync or not settings.counter)
-        clock_random = random.Random(seed ^ CLOCK_SEED)
+        clock_random = random.Random(seed ^ CLOCK_SEED_MASK)
         origin_ms = settings.clock_origin_ms
         checkpoint = None if origin_ms is None else ClockCheckpoint(settings.node_id, origin_ms)
         self.fleet_clock = FleetClock(self.fleet_time, settings.gateways, clock_random, checkpoint)
-        self.read_planned = False  # an alarm is set for it
-        self.starts = StartTimes(settings, self.fleet_time)
+        self.is_time_read_scheduled = False  # a timer is set for the next read
+        self.start_times = StartTimes(settings, self.fleet_time)
         self.cold_pacer = ColdPacer(settings, self.rng)
-        self.need_time: list[Bucket] = []  # with requests that wait until the fleet's time is known
+        self.waiting_for_time: list[Bucket] = []  # their requests wait for the fleet's time
         self.buckets: dict[tuple[str, str], Bucket] = {}
         self.requests: dict[str, Request] = {}
         self.in_flight: dict[tuple[str, int], tuple[Attempt, Request]] = {}
         self.pool = BackendPool()
         self.tracked: dict[str, TrackedBackend] = self.pool.by_id
         self.usable: list[TrackedBackend] = self.pool.usable
-        self.remembered = False  # the first list held any
-        self.capacity = 1.0  # the mean present capacity of the usable ones, as a part of the heaviest
-        self.known = 0.0  # how many were usable, as a running mean over requests
+        self.first_list_had_backends = False  # set by the first list
+        self.mean_capacity = 1.0  # of usable backends at present, relative to the heaviest
+        self.mean_usable_count = 0.0  # running mean over requests
         self.calls: dict[str, deque] = {}
-        self.ready: list[tuple[float, int, Request]] = []
+        self.send_queue: list[tuple[float, int, Request]] = []
         self.timers: list[tuple[float, int, object, object]] = []
         self.wake_at, self.seq = float("inf"), 0
-        self.aim = min((c.target_latency_ms for c in settings.classes.values()), default=1000.0)
-        self.mean_ms, self.dev_ms, self.mean_at = 0.2 * self.aim, 0.1 * self.aim, 0.0  # a guess at first
-        self.send_rate, self.rate_at = 0.0, 0.0
-        # own attempts out
-        self.attempts_out, self.limit, self.slowness, self.limit_at = 0, 0.0, TARGET_AIM / 2, 0.0
-        self.credit, self.credit_at, self.pace_at = PACE_BURST, 0.0, 0.0
-        self.pressed, self.answer_at = False, 0.0
-        self.retry_tokens = HEDGE_BURST / 2
-        self.gap_ms, self.next_call_at, self.direct_share = 0.0, 0.0, 1.0
-        self.gap_fit, self.failing = 0.0, False  # the spacing after a first failure; the last call failed
-        # of what waits for a call; thin borrows found short
-        self.mean_cost, self.short_share = float(MILLI_PER_UNIT), 0.0
-        # there and back: the quickest answer of the counter of late
-        self.way_ms = settings.counter_timeout_ms
-        # share of counts that found no room where the store was thought well filled
-        self.overrun_share = DOUBT
-        self.asked: dict[int, tuple[Bucket, int, int]] = {}  # asks out by nonce: customer, window, home
-        self.away: dict[int, float] = {}  # gateways that did not answer: until when they are passed over
-        # how long one is waited for
+        self.min_target_ms = min((c.target_latency_ms for c in settings.classes.values()), default=1000.0)
+        # initial estimates of the latency of all backends
+        self.mean_latency_ms, self.latency_dev_ms, self.mean_latency_at = (
+            0.2 * self.min_target_ms,
+            0.1 * self.min_target_ms,
+            0.0,
+        )
+        self.send_rate, self.send_rate_at = 0.0, 0.0
+        # attempts in flight; their limit; mean latency as a share of the target latency
+        self.attempts_out, self.attempt_limit, self.latency_share, self.attempt_limit_at = (
+            0,
+            0.0,
+            OVERLOAD_LATENCY_SHARE / 2,
+            0.0,
+        )
+        self.send_credit, self.send_credit_at, self.paced_send_at = PACING_LIMIT, 0.0, 0.0
+        self.is_limit_reached, self.last_answer_at = False, 0.0
+        self.retry_tokens = MAX_RETRY_TOKENS / 2
+        self.call_gap_ms, self.next_call_at, self.direct_share = 0.0, 0.0, 1.0
+        # gap after the latest failure that followed a success
+        self.failure_gap_ms, self.last_call_failed = 0.0, False
+        # mean cost of what waits for a counter call; share of borrows that found too few tokens
+        self.mean_waiting_cost, self.short_share = float(MILLI_PER_UNIT), 0.0
+        # estimated round-trip time of the counter without queueing
+        self.counter_rtt_ms = settings.counter_timeout_ms
+        # share of counts that found the bucket overdrawn although it was thought well filled
+        self.overrun_share = INITIAL_OVERRUN_SHARE
+        # by nonce: bucket, window, home gateway
+        self.pending_peer_borrows: dict[int, tuple[Bucket, int, int]] = {}
+        # by gateway, of those that did not answer
+        self.peer_skipped_until: dict[int, float] = {}
+        # wait for the answer of a home gateway
         self.peer_timeout_ms = 2.0 * settings.counter_timeout_ms + 10.0 * settings.tick_ms
-        self.logged: dict[tuple[str, str], tuple[bool, float]] = {}  # of states, some of a backend
-        self.on = {
-            io.RequestArrived: self.on_request,
-            io.AttemptEnded: self.on_ended,
-            io.CounterResult: self.on_count,
-            io.BackendsChanged: self.on_backends,
-            io.ClientDisconnected: self.on_left,
-            io.PeerMessage: self.on_peer,
+        # by state and backend: last value logged, and when
+        self.logged_states: dict[tuple[str, str], tuple[bool, float]] = {}
+        self.handlers = {
+            io.RequestArrived: self.on_request_arrived,
+            io.AttemptEnded: self.on_attempt_ended,
+            io.CounterResult: self.on_counter_result,
+            io.BackendsChanged: self.on_backends_changed,
+            io.ClientDisconnected: self.on_client_disconnected,
+            io.PeerMessage: self.on_peer_message,
             io.Stopping: self.on_stopping,
-            io.StreamStarted: self.on_stream,
+            io.StreamStarted: self.on_stream_started,
         }
 
     def handle(self, now_ms: float, event) -> list:
+        """Process one event at `now_ms` and return the actions to carry out, in order.
+
+        Timers that are due run first. An event of an unknown type is ignored.
+        """
         self.actions, now = [], now_ms
         while self.timers and self.timers[0][0] <= now:
-            when, _, what, arg = heapq.heappop(self.timers)
-            if now - when > STALL_MS and what != self.give_up:
-                self.at(now + self.cfg.tick_ms, what, arg)  # an own pause: first what came meanwhile
+            due, _, callback, argument = heapq.heappop(self.timers)
+            if now - due > STALL_MS and callback != self.give_up:
+                # After a stall of this process, events that arrived meanwhile are handled first.
+                self.schedule(now + self.settings.tick_ms, callback, argument)
             else:
-                what(now, arg)
-        if self.wake_at <= now + 0.01:  # also one that was rounded to just before its alarm
+                callback(now, argument)
+        # The host may round the delay down and fire the timer slightly early.
+        if self.wake_at <= now + 0.01:
             self.wake_at = float("inf")
-        if type(event) in self.on:
-            self.on[type(event)](now, event)
+        if type(event) in self.handlers:
+            self.handlers[type(event)](now, event)
         if self.timers and self.timers[0][0] < self.wake_at:
             self.wake_at = self.timers[0][0]
             self.actions.append(io.SetTimer("wake", max(0.0, self.wake_at - now)))
         return self.actions
 
-    def at(self, when: float, what, arg) -> None:
+    def schedule(self, due: float, callback, argument) -> None:
+        """Call `callback(now, argument)` at the time `due`."""
         self.seq += 1
-        heapq.heappush(self.timers, (when, self.seq, what, arg))
+        heapq.heappush(self.timers, (due, self.seq, callback, argument))
 
-    def note(self, now: float, what: str, on: bool, backend: str = "") -> None:
-        """A log line at the entry and at the exit of a state, at most one of a kind each second."""
-        last, at = self.logged.get((what, backend), (False, -1e9))
-        if on != last and now - at >= 1000.0:
-            self.logged[what, backend] = (on, now)
-            self.actions.append(io.Log(f"{backend} {what}: {'begins' if on else 'ends'}".lstrip()))
+    def log_state(self, now: float, state: str, is_active: bool, backend: str = "") -> None:
+        """Log when a state begins and ends, at most once a second for each state and backend."""
+        was_active, logged_at = self.logged_states.get((state, backend), (False, -1e9))
+        if is_active != was_active and now - logged_at >= 1000.0:
+            self.logged_states[state, backend] = (is_active, now)
+            self.actions.append(io.Log(f"{backend} {state}: {'begins' if is_active else 'ends'}".lstrip()))
 
-    # Requests: quota first, then a backend.
+    # Admission of requests
 
-    def on_request(self, now: float, e: io.RequestArrived) -> None:
-        plan = self.cfg.plans.get(e.plan)
+    def on_request_arrived(self, now: float, event: io.RequestArrived) -> None:
+        """Admit a new request; one of an unknown plan is rejected."""
+        plan = self.settings.plans.get(event.plan)
         if plan is None:
-            self.actions.append(io.Reject(e.request))
+            self.actions.append(io.Reject(event.request))
             return
-        bucket = self.bucket(now, plan, e.customer, e.first_gateway, e.spread)
+        bucket = self.find_bucket(now, plan, event.customer, event.first_gateway, event.spread)
         bucket.record_arrival(now)
-        req = Request(e, self.cfg.classes.get(e.kind) or io.RequestClass(), bucket, now)
-        self.requests[req.id] = req
-        self.at(req.deadline - 2 * self.cfg.tick_ms, self.give_up, req)
-        self.admit(now, req)
-
-    def bucket(self, now: float, plan: io.Plan, customer: str, first: int, spread: int) -> Bucket:
-        b = self.buckets.get((plan.name, customer))
-        if b is None:
-            b = self.buckets[plan.name, customer] = Bucket(
-                customer, plan, first, spread, self.cfg, now, self.fleet_time
+        request = Request(event, self.settings.classes.get(event.kind) or io.RequestClass(), bucket, now)
+        self.requests[request.id] = request
+        self.schedule(request.deadline_at - 2 * self.settings.tick_ms, self.give_up, request)
+        self.admit(now, request)
+
+    def find_bucket(
+        self, now: float, plan: io.Plan, customer: str, first_gateway: int, spread: int
+    ) -> Bucket:
+        """The customer's bucket, created on first use."""
+        bucket = self.buckets.get((plan.name, customer))
+        if bucket is None:
+            bucket = self.buckets[plan.name, customer] = Bucket(
+                customer, plan, first_gateway, spread, self.settings, now, self.fleet_time
             )
-        b.last_used_at = now
-        return b
-
-    def admit(self, now: float, req: Request | Ask) -> None:
-        b = req.bucket
-        b.advance(now)
-        if b.rate <= 0 or not b.waiting and b.tokens >= req.cost:
-            req.paid = req.cost
-            b.tokens -= req.cost
-            b.spend(req.cost)
-            self.granted(now, req)
-        elif not isinstance(req, Ask) and self.trusted(b, req.cost) and b.take_spare(now, req.cost):
-            b.spend(req.cost)
-            b.uncounted_tokens += req.cost
-            b.uncounted_requests += 1
-            self.granted(now, req)
-            counts = b.quick_streak or not self.trusted(b, req.cost)  # the next one has not to wait
-            if counts and not b.pending and b.knows_window(now):
-                self.borrow(now, b)
-        elif b.pending:
-            b.waiting.append(req)
-        elif now < b.retry_at:
-            self.turned_down(now, req)
+        bucket.last_used_at = now
+        return bucket
+
+    def admit(self, now: float, request: Request | PeerBorrow) -> None:
+        """Charge a request to its bucket, or let it wait for tokens.
+
+        Without tokens, a request is admitted at once if it may be counted later; otherwise tokens are
+        borrowed, unless the last borrow said to wait.
+        """
+        bucket = request.bucket
+        bucket.advance(now)
+        if bucket.rate <= 0 or not bucket.waiting and bucket.tokens >= request.cost:
+            request.charged = request.cost
+            bucket.tokens -= request.cost
+            bucket.spend(request.cost)
+            self.on_granted(now, request)
+        elif (
+            not isinstance(request, PeerBorrow)
+            and self.may_count_later(bucket, request.cost)
+            and bucket.take_spare(now, request.cost)
+        ):
+            bucket.spend(request.cost)
+            bucket.uncounted_tokens += request.cost
+            bucket.uncounted_requests += 1
+            self.on_granted(now, request)
+            # Count in time for the next request to be admitted without a wait.
+            must_count = bucket.quick_streak or not self.may_count_later(bucket, request.cost)
+            if must_count and not bucket.pending and bucket.knows_window(now):
+                self.borrow_from_counter(now, bucket)
+        elif bucket.pending:
+            bucket.waiting.append(request)
+        elif now < bucket.retry_at:
+            self.on_borrow_refused(now, request)
         else:
-            b.waiting.append(req)
-            self.refill(now, b)
-
-    def trusted(self, b: Bucket, cost: int) -> bool:
-        """Whether what this customer asks is let in at once and counted behind. Its store has to have been
-        seen well filled, and the request to fit this gateway's part of what was left. Where that is less than
-        a request, doubt decides: trust may cost no more by what then finds no room than it saves in calls."""
-        if not b.is_filled or b.quick_streak > 1 or self.gap_ms > 4.0 * GAP_FIRST_MS:
+            bucket.waiting.append(request)
+            self.request_tokens(now, bucket)
+
+    def may_count_later(self, bucket: Bucket, cost: int) -> bool:
+        """Whether a request may be admitted at once and counted afterwards.
+
+        The bucket was well filled when last seen, and the request fits this gateway's part of it. Where that
+        part is smaller than the request, the expected cost of an overrun must be low beside the price of a
+        counter call.
+        """
+        if not bucket.is_filled or bucket.quick_streak > 1 or self.call_gap_ms > 4.0 * MIN_CALL_GAP_MS:
             return False
-        asked = b.uncounted_tokens + cost
-        if asked <= TRUST_SHARE * b.level * b.share:
+        uncounted = bucket.uncounted_tokens + cost
+        if uncounted <= TRUST_SHARE * bucket.level * bucket.share:
             return True
-        worth_it = self.overrun_share * b.plan.overrun_cost <= DOUBT_PART * self.cfg.counter_price
-        return worth_it and b.uncounted_requests < UNCOUNTED_MOST and asked <= TRUST_SHARE * b.level
-
-    def granted(self, now: float, req: Request | Ask) -> None:
-        """Inside the rate. Where the plan limits attempts out, it may have to wait for one to end."""
-        if isinstance(req, Ask):
-            self.tell(now, req.peer, BORROW_GRANT, req.nonce, req.cost)
-        elif req.bucket.plan.max_concurrency and req.bucket.open_count >= req.bucket.max_open:
-            req.bucket.gated.append(req)
-            self.at(req.aim - self.mean_ms, self.give_up, req)
+        is_cheap = (
+            self.overrun_share * bucket.plan.overrun_cost
+            <= MAX_OVERRUN_COST_SHARE * self.settings.counter_price
+        )
+        return (
+            is_cheap
+            and bucket.uncounted_requests < MAX_UNCOUNTED_REQUESTS
+            and uncounted <= TRUST_SHARE * bucket.level
+        )
+
+    def on_granted(self, now: float, request: Request | PeerBorrow) -> None:
+        """Dispatch a request that is within the rate, or answer a peer's borrow.
+
+        A plan with a concurrency limit may hold the request until one of its attempts ends.
+        """
+        if isinstance(request, PeerBorrow):
+            self.send_peer_message(now, request.peer, BORROW_GRANT, request.nonce, request.cost)
+        elif request.bucket.plan.max_concurrency and request.bucket.open_count >= request.bucket.max_open:
+            request.bucket.gated.append(request)
+            self.schedule(request.target_at - self.mean_latency_ms, self.give_up, request)
         else:
-            self.dispatch(now, req)
-
-    def turned_down(self, now: float, req: Request | Ask) -> None:
-        """A source said no. While the counter fails that is a home with no more than its own part of what may
-        go unconfirmed under a ceiling: the part kept here is for its own requests."""
-        own = req.bucket.plan.ceiling_rate > 0 and self.gap_ms > GAP_FIRST_MS and not isinstance(req, Ask)
-        (self.alone if own else self.refuse)(now, req)
-
-    def alone(self, now: float, req: Request | Ask) -> None:
-        """Nobody to ask just now: the local share decides."""
-        fits = req.bucket.take_local(now, req.cost, self.rng.random(), self.short_share, self.mean_cost)
-        (self.granted if fits else self.refuse)(now, req)
-
-    def refuse(self, now: float, req: Request | Ask) -> None:
-        """Beyond the quota. Let in all the same where the plan pays for it and the backends have slack."""
-        b, plan = req.bucket, req.bucket.plan
-        if isinstance(req, Ask):
-            # Each is told a turn of its own, as they would all come back at the same moment.
-            b.promised_at = min(max(b.promised_at, b.retry_at, now) + req.cost / b.rate, now + b.fill_ms / 2)
-            self.tell(now, req.peer, BORROW_GRANT, req.nonce, 0, max(1.0, b.promised_at - now))
-        elif plan.excess_worth > plan.overrun_cost and not self.ready and b.take_spare(now, req.cost):
-            self.dispatch(now, req, spare=True)
+            self.dispatch(now, request)
+
+    def on_borrow_refused(self, now: float, request: Request | PeerBorrow) -> None:
+        """Handle a refusal by the source of tokens.
+
+        While the counter fails, the refusal comes from a home gateway, which grants no more than its own part
+        of the unconfirmed grants under a ceiling. This gateway may still use its own part for its own
+        requests.
+        """
+        may_use_own_share = (
+            request.bucket.plan.ceiling_rate > 0
+            and self.call_gap_ms > MIN_CALL_GAP_MS
+            and not isinstance(request, PeerBorrow)
+        )
+        (self.decide_locally if may_use_own_share else self.on_over_quota)(now, request)
+
+    def decide_locally(self, now: float, request: Request | PeerBorrow) -> None:
+        """Decide by the local share of the quota while no source of tokens can be asked."""
+        fits = request.bucket.take_local(
+            now, request.cost, self.rng.random(), self.short_share, self.mean_waiting_cost
+        )
+        (self.on_granted if fits else self.on_over_quota)(now, request)
+
+    def on_over_quota(self, now: float, request: Request | PeerBorrow) -> None:
+        """Reject a request beyond the quota, unless the plan pays for excess and backends have capacity."""
+        bucket, plan = request.bucket, request.bucket.plan
+        if isinstance(request, PeerBorrow):
+            # Each peer gets its own retry time, so that they do not all return at once.
+            bucket.promised_at = min(
+                max(bucket.promised_at, bucket.retry_at, now) + request.cost / bucket.rate,
+                now + bucket.fill_ms / 2,
+            )
+            self.send_peer_message(
+                now, request.peer, BORROW_GRANT, request.nonce, 0, max(1.0, bucket.promised_at - now)
+            )
+        elif (
+            plan.excess_worth > plan.overrun_cost
+            and not self.send_queue
+            and bucket.take_spare(now, request.cost)
+        ):
+            self.dispatch(now, request, is_over_quota=True)
         else:
-            wait = max(0.0, b.retry_at - now) if self.cfg.may_advise else 0.0
-            self.finish(now, req, io.Reject(req.id, min(wait, self.cfg.most_retry_after_ms)))
+            retry_after_ms = max(0.0, bucket.retry_at - now) if self.settings.may_advise else 0.0
+            self.finish(
+                now, request, io.Reject(request.id, min(retry_after_ms, self.settings.most_retry_after_ms))
+            )
+
+    # Sources of tokens: the counter, or a home gateway of the customer while the counter fails
 
-    # Where tokens come from: the counter, or the customer's home gateway with the counter crowded or lost.
+    def request_tokens(self, now: float, bucket: Bucket) -> None:
+        """Borrow for all that waits in a bucket, from the counter or a home gateway.
 
-    def refill(self, now: float, b: Bucket) -> None:
-        """One source for all that waits here. Home is asked where calls to the counter fail, as it borrows
-        for the whole set. Guards against a counter that is down, slow or crowded by many gateways; costs two
-        short messages a borrow, and a wait where home stands still."""
-        if not b.knows_window(now):
-            self.await_time(now, b)
+        While counter calls fail, borrows go to home gateways, which borrow for the whole set of gateways of a
+        customer. That keeps load off a counter that is down, slow or congested, at the price of two messages
+        for each borrow and a timeout where the home gateway does not answer.
+        """
+        if not bucket.knows_window(now):
+            self.wait_for_time(now, bucket)
             return
-        up = (h for h in b.homes if h == self.cfg.node_id or self.away.get(h, 0.0) <= now)  # asks end here
-        home = self.cfg.node_id if any(isinstance(x, Ask) for x in b.waiting) else next(up, self.cfg.node_id)
-        counter = self.cfg.counter and now >= self.next_call_at + self.turn(b) and not b.sources_tried & 1
+        reachable = (
+            h
+            for h in bucket.homes
+            if h == self.settings.node_id or self.peer_skipped_until.get(h, 0.0) <= now
+        )
+        # A borrow that a peer requested is not passed on to another home gateway.
+        home = (
+            self.settings.node_id
+            if any(isinstance(waiting, PeerBorrow) for waiting in bucket.waiting)
+            else next(reachable, self.settings.node_id)
+        )
+        may_call_counter = (
+            self.settings.counter
+            and now >= self.next_call_at + self.call_delay_ms(bucket)
+            and not bucket.sources_tried & 1
+        )
         if (
-            b.sources_tried < 6
-            and home != self.cfg.node_id
-            and (not counter or self.rng.random() >= self.direct_share)
+            bucket.sources_tried < 6
+            and home != self.settings.node_id
+            and (not may_call_counter or self.rng.random() >= self.direct_share)
         ):
             self.seq += 1
-            b.pending, b.sources_tried = 1, b.sources_tried + 2
-            self.asked[self.seq] = (b, b.window, home)
-            text = f"{b.first} {b.spread} {b.plan.name} {b.key}"
-            self.tell(now, home, BORROW_REQUEST, self.seq, b.lease_size(1.0), text=text)
-            self.at(now + self.peer_timeout_ms, self.missed, self.seq)
-        elif counter:
-            b.sources_tried |= 1
-            self.borrow(now, b)
+            bucket.pending, bucket.sources_tried = 1, bucket.sources_tried + 2
+            self.pending_peer_borrows[self.seq] = (bucket, bucket.window, home)
+            text = f"{bucket.first} {bucket.spread} {bucket.plan.name} {bucket.key}"
+            self.send_peer_message(now, home, BORROW_REQUEST, self.seq, bucket.lease_size(1.0), text=text)
+            self.schedule(now + self.peer_timeout_ms, self.on_peer_timeout, self.seq)
+        elif may_call_counter:
+            bucket.sources_tried |= 1
+            self.borrow_from_counter(now, bucket)
         else:
-            self.recheck(now, b, True)
+            self.retry_waiting(now, bucket, True)
 
-    # The time that all gateways agree on: without it, nothing is counted.
+    # The time that all gateways agree on, by which the windows of the counts are numbered
 
-    def await_time(self, now: float, b: Bucket) -> None:
-        """What waits here waits on while the counter is asked for the time; else the local share decides."""
-        self.read_time(now, needed=True)
+    def wait_for_time(self, now: float, bucket: Bucket) -> None:
+        """Keep what waits until the fleet's time is known; decide locally if it cannot be read now."""
+        self.read_fleet_time(now, needed=True)
         if self.fleet_clock.is_resolving(now):
-            b.pending = 1
-            self.need_time.append(b)
+            bucket.pending = 1
+            self.waiting_for_time.append(bucket)
         else:
-            self.recheck(now, b, True)
+            self.retry_waiting(now, bucket, True)
 
-    def read_time(self, now: float, needed: bool = False) -> None:
-        self.count(self.fleet_clock.read(now, needed))
+    def read_fleet_time(self, now: float, needed: bool = False) -> None:
+        """Let the fleet clock read its timestamp on the counter; `needed` if requests wait for the time."""
+        self.send_time_call(self.fleet_clock.read(now, needed))
 
-    def count(self, call: io.CounterAdd | None) -> None:
+    def send_time_call(self, call: io.CounterAdd | None) -> None:
+        """Emit a counter call of the fleet clock, if there is one."""
         if call is not None:
             self.actions.append(call)
 
     def on_stopping(self, now: float, _event: io.Stopping) -> None:
-        self.count(self.fleet_clock.stop(now))
-
-    def plan_read(self) -> None:
-        if not self.read_planned:
-            self.read_planned = True
-            self.at(self.fleet_clock.next_read_at, self.planned_read, None)
-
-    def planned_read(self, now: float, _arg) -> None:
-        self.read_planned = False
-        self.read_time(now)
+        """Leave a checkpoint of the fleet's time for the next process."""
+        self.send_time_call(self.fleet_clock.stop(now))
+
+    def schedule_time_read(self) -> None:
+        """Set a timer for the next regular read of the fleet's time."""
+        if not self.is_time_read_scheduled:
+            self.is_time_read_scheduled = True
+            self.schedule(self.fleet_clock.next_read_at, self.on_time_read_due, None)
+
+    def on_time_read_due(self, now: float, _argument) -> None:
+        """Read the fleet's time at a regular interval."""
+        self.is_time_read_scheduled = False
+        self.read_fleet_time(now)
         if not self.fleet_clock.has_pending_call():
-            self.plan_read()  # one that was needed has put it off
-
-    def on_time(self, now: float, e: io.CounterResult) -> None:
-        known, before_ms = self.fleet_time.is_known, self.fleet_time.offset_ms
-        call = self.fleet_clock.on_result(now, e)
-        moved_ms = self.fleet_time.offset_ms - before_ms
-        if self.fleet_time.is_known and (not known or abs(moved_ms) > MIN_OFFSET_CHANGE_MS):
+            # A read for a waiting request has postponed this one.
+            self.schedule_time_read()
+
+    def on_time_result(self, now: float, event: io.CounterResult) -> None:
+        """Pass a result to the fleet clock, and resume the buckets that wait for the time."""
+        was_known, old_offset_ms = self.fleet_time.is_known, self.fleet_time.offset_ms
+        call = self.fleet_clock.on_result(now, event)
+        moved_ms = self.fleet_time.offset_ms - old_offset_ms
+        if self.fleet_time.is_known and (not was_known or abs(moved_ms) > MIN_OFFSET_CHANGE_MS):
             self.actions.append(io.Log(f"fleet time: own clock {self.fleet_time.offset_ms:+.0f} ms"))
-        self.count(call)
+        self.send_time_call(call)
         if call is None:
-            self.plan_read()
+            self.schedule_time_read()
         elif not self.fleet_time.is_known:
             return
-        self.starts.on_offset_changed(self.tracked.values())
-        waiting, self.need_time = self.need_time, []
-        for b in waiting:
-            if b.knows_window(now):
-                b.pending = 0
-                self.refill(now, b)
+        self.start_times.on_offset_changed(self.tracked.values())
+        waiting, self.waiting_for_time = self.waiting_for_time, []
+        for bucket in waiting:
+            if bucket.knows_window(now):
+                bucket.pending = 0
+                self.request_tokens(now, bucket)
             elif self.fleet_clock.is_resolving(now):
-                self.need_time.append(b)
+                self.waiting_for_time.append(bucket)
             else:
-                b.pending = 0
-                self.recheck(now, b, True)
-        if self.need_time:
-            self.at(now + NEEDED_READ_INTERVAL_MS, self.read_needed_time, None)
-
-    def read_needed_time(self, now: float, _arg) -> None:
-        if self.need_time:
-            self.read_time(now, needed=True)
-
-    def turn(self, b: Bucket) -> float:
-        """How much sooner or later than the next call what waits here gets its own: with calls scarce, those
-        for large requests tell of more units, of worth and of quota."""
-        most = max((x.cost for x in b.waiting), default=0)
-        self.mean_cost += COST_WEIGHT * (most - self.mean_cost)
-        return self.gap_ms * (min(CALL_SIZES, self.mean_cost / max(1, most)) - 1.0)
-
-    def tell(self, now: float, peer: int, kind: int, nonce: int, amount: int, wait=0.0, text="") -> None:
-        body = HEADER.pack(WIRE_VERSION, kind, nonce, min(amount, CLOCK), int(wait), self.message_clock(now))
-        body += text.encode()
-        if len(body) <= 252:
-            self.actions.append(io.SendPeerMessage(body + zlib.crc32(body).to_bytes(4), peer))
-
-    def on_peer(self, now: float, e: io.PeerMessage) -> None:
-        """Believed only if whole, of this version and in time; no more is taken than was asked for, once."""
-        body = e.payload[:-4]
-        good = len(body) >= HEADER.size and zlib.crc32(body).to_bytes(4) == e.payload[-4:]
-        if not good or body[0] != WIRE_VERSION:
+                bucket.pending = 0
+                self.retry_waiting(now, bucket, True)
+        if self.waiting_for_time:
+            self.schedule(now + NEEDED_READ_INTERVAL_MS, self.retry_needed_time_read, None)
+
+    def retry_needed_time_read(self, now: float, _argument) -> None:
+        """Read the fleet's time again while requests wait for it."""
+        if self.waiting_for_time:
+            self.read_fleet_time(now, needed=True)
+
+    def call_delay_ms(self, bucket: Bucket) -> float:
+        """The delay of a bucket's call relative to the next free one, in ms; negative for an earlier call.
+
+        With calls spaced, those for large requests come first: they count more units and are worth more.
+        """
+        max_cost = max((waiting.cost for waiting in bucket.waiting), default=0)
+        self.mean_waiting_cost += BORROW_AVERAGE_WEIGHT * (max_cost - self.mean_waiting_cost)
+        return self.call_gap_ms * (min(MAX_CALL_DELAY_GAPS, self.mean_waiting_cost / max(1, max_cost)) - 1.0)
+
+    def send_peer_message(
+        self, now: float, peer: int, kind: int, nonce: int, amount: int, wait_ms=0.0, text=""
+    ) -> None:
+        """Send a message to another gateway; one of more than 256 bytes is dropped."""
+        payload = MESSAGE_HEADER.pack(
+            MESSAGE_VERSION, kind, nonce, min(amount, MAX_UINT32), int(wait_ms), self.message_clock(now)
+        )
+        payload += text.encode()
+        if len(payload) <= 252:
+            self.actions.append(io.SendPeerMessage(payload + zlib.crc32(payload).to_bytes(4), peer))
+
+    def on_peer_message(self, now: float, event: io.PeerMessage) -> None:
+        """Handle a borrow request or a grant from another gateway.
+
+        A message is ignored if it is damaged, of another version or too old. A grant is accepted once, from
+        the gateway that was asked, and for no more than was asked for.
+        """
+        body = event.payload[:-4]
+        is_valid = len(body) >= MESSAGE_HEADER.size and zlib.crc32(body).to_bytes(4) == event.payload[-4:]
+        if not is_valid or body[0] != MESSAGE_VERSION:
             return
-        _, kind, nonce, amount, wait, clock = HEADER.unpack_from(body)
-        self.away.pop(e.sender, None)
-        if kind == BORROW_REQUEST and (self.message_clock(now) - clock) & CLOCK < self.peer_timeout_ms / 2:
-            parts = body[HEADER.size :].decode(errors="replace").split(" ", 3)
-            if len(parts) == 4 and parts[2] in self.cfg.plans and (parts[0] + parts[1]).isdecimal():
-                b = self.bucket(now, self.cfg.plans[parts[2]], parts[3], int(parts[0]), int(parts[1]))
-                if b.home_rank and amount > 0:
-                    self.admit(now, Ask(b, amount, e.sender, nonce))
-        elif kind == BORROW_GRANT and self.asked.get(nonce, (None, 0, -1))[2] == e.sender:
-            b, win, _ = self.asked.pop(nonce)
-            b.advance(now)
-            b.pending = 0
+        _, kind, nonce, amount, wait_ms, sent_clock = MESSAGE_HEADER.unpack_from(body)
+        self.peer_skipped_until.pop(event.sender, None)
+        if (
+            kind == BORROW_REQUEST
+            and (self.message_clock(now) - sent_clock) & MAX_UINT32 < self.peer_timeout_ms / 2
+        ):
+            parts = body[MESSAGE_HEADER.size :].decode(errors="replace").split(" ", 3)
+            if len(parts) == 4 and parts[2] in self.settings.plans and (parts[0] + parts[1]).isdecimal():
+                bucket = self.find_bucket(
+                    now, self.settings.plans[parts[2]], parts[3], int(parts[0]), int(parts[1])
+                )
+                if bucket.home_rank and amount > 0:
+                    self.admit(now, PeerBorrow(bucket, amount, event.sender, nonce))
+        elif kind == BORROW_GRANT and self.pending_peer_borrows.get(nonce, (None, 0, -1))[2] == event.sender:
+            bucket, window, _ = self.pending_peer_borrows.pop(nonce)
+            bucket.advance(now)
+            bucket.pending = 0
             if not amount:
-                b.retry_at = now + min(wait, b.fill_ms)
-            elif win == b.window:
-                b.add_lease(now, min(amount, b.lease_size(1.0)))
-            self.recheck(now, b, False)
+                bucket.retry_at = now + min(wait_ms, bucket.fill_ms)
+            elif window == bucket.window:
+                bucket.add_lease(now, min(amount, bucket.lease_size(1.0)))
+            self.retry_waiting(now, bucket, False)
 
     def message_clock(self, now: float) -> int:
-        """When a message is sent, as it tells it: receivers pass over what was long on its way."""
-        return int(now + self.fleet_time.offset_ms) & CLOCK
-
-    def missed(self, now: float, nonce: int) -> None:
-        """Twice no answer: passed over for a while, as it may be stopped, standing still or cut off."""
-        if nonce in self.asked:
-            b, _, home = self.asked.pop(nonce)
-            self.away[home] = now + AWAY_MS if home in self.away else now  # one may have been lost on the way
-            b.pending = 0
-            self.refill(now, b)
-
-    # The counter.
-
-    def call(self, b: Bucket, kind: str, win: int, amount: int) -> None:
-        name = f"{b.counter_name}/{win}"
-        self.calls.setdefault(name, deque()).append((b, kind, win))
+        """The send time put in a message, in ms modulo 2**32; receivers ignore delayed messages."""
+        return int(now + self.fleet_time.offset_ms) & MAX_UINT32
+
+    def on_peer_timeout(self, now: float, nonce: int) -> None:
+        """Ask elsewhere after a home gateway did not answer; skip it after a second timeout."""
+        if nonce in self.pending_peer_borrows:
+            bucket, _, home = self.pending_peer_borrows.pop(nonce)
+            # The first message may have been lost on the way.
+            self.peer_skipped_until[home] = now + PEER_SKIP_MS if home in self.peer_skipped_until else now
+            bucket.pending = 0
+            self.request_tokens(now, bucket)
+
+    # Calls to the counter
+
+    def send_counter_call(self, bucket: Bucket, kind: str, window: int, amount: int) -> None:
+        """Add `amount` milli-tokens to the count of a bucket's window; 0 reads it.
+
+        `kind` is "lease" for a borrow, "previous" for the total of the previous window, "adjust" for a
+        correction.
+        """
+        name = f"{bucket.counter_name}/{window}"
+        self.calls.setdefault(name, deque()).append((bucket, kind, window))
         self.actions.append(io.CounterAdd(name, amount / MILLI_PER_UNIT, MAX_COUNTER_TTL_MS))
 
-    def borrow(self, now: float, b: Bucket) -> None:
-        """One call: a lease for what waits, and with it what was let in or lapsed here since the last."""
-        b.advance(now)
-        b.lease, b.pending = b.lease_size(self.direct_share), 1
-        self.next_call_at = max(self.next_call_at, now + self.gap_ms)
-        self.call(b, "lease", b.window, b.lease + b.take_unreported())
-
-    def on_count(self, now: float, e: io.CounterResult) -> None:
-        if self.fleet_clock.owns(e.name):
-            self.on_time(now, e)
+    def borrow_from_counter(self, now: float, bucket: Bucket) -> None:
+        """Borrow a lease for what waits; the same call reports uncounted use and returns lapsed tokens."""
+        bucket.advance(now)
+        bucket.lease, bucket.pending = bucket.lease_size(self.direct_share), 1
+        self.next_call_at = max(self.next_call_at, now + self.call_gap_ms)
+        self.send_counter_call(bucket, "lease", bucket.window, bucket.lease + bucket.take_unreported())
+
+    def on_counter_result(self, now: float, event: io.CounterResult) -> None:
+        """Match a result to its call, adapt the gap between calls to it, and process the total."""
+        if self.fleet_clock.owns(event.name):
+            self.on_time_result(now, event)
             return
-        line = self.calls.get(e.name)
-        if not line:
+        pending = self.calls.get(event.name)
+        if not pending:
             return
-        b, kind, win = line.popleft()
-        if not line:
-            del self.calls[e.name]
-        good = e.outcome is Outcome.OK and e.total is not None
-        if e.outcome is Outcome.RESET or e.outcome is Outcome.OK and not good:  # the counter itself is well
-            self.untold(now, b, kind, win, e.outcome is Outcome.OK)
+        bucket, kind, window = pending.popleft()
+        if not pending:
+            del self.calls[event.name]
+        is_ok = event.outcome is Outcome.OK and event.total is not None
+        if event.outcome is Outcome.RESET or event.outcome is Outcome.OK and not is_ok:
+            # The counter did not fail, but the total is not known.
+            self.on_total_unknown(now, bucket, kind, window, event.outcome is Outcome.OK)
             return
         self.direct_share = (
-            min(1.0, self.direct_share + DIRECT_GAIN) if good else self.direct_share * DIRECT_LOSS
+            min(1.0, self.direct_share + DIRECT_SHARE_GAIN)
+            if is_ok
+            else self.direct_share * DIRECT_SHARE_FAILURE_FACTOR
         )
-        if good:
-            self.way_ms = min(e.elapsed_ms, self.way_ms + WAY_WEIGHT * (e.elapsed_ms - self.way_ms))
-        if good and e.elapsed_ms - self.way_ms > SLOW_SHARE * (self.cfg.counter_timeout_ms - self.way_ms):
-            self.gap_ms, self.failing = min(GAP_MOST_MS, max(GAP_FIRST_MS, self.gap_ms * GAP_TIGHT)), False
-        elif good:
-            # Halved at each good call, doubled at each failed one, it would settle where every second fails.
-            ease = 0.5 if self.gap_ms > self.gap_fit else GAP_EASE
-            self.gap_ms, self.failing = self.gap_ms * ease if self.gap_ms > GAP_FIRST_MS else 0.0, False
+        if is_ok:
+            self.counter_rtt_ms = min(
+                event.elapsed_ms,
+                self.counter_rtt_ms + COUNTER_RTT_WEIGHT * (event.elapsed_ms - self.counter_rtt_ms),
+            )
+        if is_ok and event.elapsed_ms - self.counter_rtt_ms > CONGESTED_DELAY_SHARE * (
+            self.settings.counter_timeout_ms - self.counter_rtt_ms
+        ):
+            self.call_gap_ms, self.last_call_failed = (
+                min(MAX_CALL_GAP_MS, max(MIN_CALL_GAP_MS, self.call_gap_ms * GAP_INCREASE_FACTOR)),
+                False,
+            )
+        elif is_ok:
+            # Halving the gap after every success would settle where every second call fails.
+            factor = 0.5 if self.call_gap_ms > self.failure_gap_ms else GAP_DECREASE_FACTOR
+            self.call_gap_ms, self.last_call_failed = (
+                self.call_gap_ms * factor if self.call_gap_ms > MIN_CALL_GAP_MS else 0.0,
+                False,
+            )
         else:
-            # Refused, silent, slow or crowded alike: fewer calls, and the local share meanwhile.
-            self.gap_ms = min(GAP_MOST_MS, max(GAP_FIRST_MS, self.gap_ms * 2.0))
-            if not self.failing:  # more in a row tell of a counter that is away, not of how much it bears
-                self.gap_fit, self.failing = self.gap_ms, True
-            self.next_call_at = max(self.next_call_at, now + self.gap_ms)
-        self.note(now, "counter failing", self.gap_ms > 4 * GAP_FIRST_MS)
-        self.counted(now, b, kind, win, good, round((e.total or 0.0) * MILLI_PER_UNIT))
-
-    def untold(self, now: float, b: Bucket, kind: str, win: int, added: bool) -> None:
-        """No total, as the answer was spoilt or its connection broke. What was added for a lease that is not
-        known to fit is taken off with the next call, which may go to the counter again, once."""
-        b.advance(now)
-        if added and kind == "lease" and win == b.window:
-            b.added += b.lease
-            b.uncounted_tokens -= b.lease
-        if not b.was_asked_again:
-            b.was_asked_again, b.sources_tried = True, b.sources_tried & ~1
-        self.counted(now, b, kind, win, False, 0)
-
-    def counted(self, now: float, b: Bucket, kind: str, win: int, good: bool, total: int) -> None:
-        b.advance(now)
-        if kind == "prev":
-            self.window_before(now, b, win, total if good else None)
+            # However the call failed, calls become fewer and the local share decides meanwhile.
+            self.call_gap_ms = min(MAX_CALL_GAP_MS, max(MIN_CALL_GAP_MS, self.call_gap_ms * 2.0))
+            # Only a first failure shows the capacity of the counter; several in a row show an outage.
+            if not self.last_call_failed:
+                self.failure_gap_ms, self.last_call_failed = self.call_gap_ms, True
+            self.next_call_at = max(self.next_call_at, now + self.call_gap_ms)
+        self.log_state(now, "counter failing", self.call_gap_ms > 4 * MIN_CALL_GAP_MS)
+        self.on_call_ended(now, bucket, kind, window, is_ok, round((event.total or 0.0) * MILLI_PER_UNIT))
+
+    def on_total_unknown(self, now: float, bucket: Bucket, kind: str, window: int, was_added: bool) -> None:
+        """Handle a call whose answer was unusable or whose connection broke.
+
+        A lease that was added without a known total is taken off with the next call. Once for each borrow,
+        the counter may be called again.
+        """
+        bucket.advance(now)
+        if was_added and kind == "lease" and window == bucket.window:
+            bucket.added += bucket.lease
+            bucket.uncounted_tokens -= bucket.lease
+        if not bucket.was_asked_again:
+            bucket.was_asked_again, bucket.sources_tried = True, bucket.sources_tried & ~1
+        self.on_call_ended(now, bucket, kind, window, False, 0)
+
+    def on_call_ended(
+        self, now: float, bucket: Bucket, kind: str, window: int, is_ok: bool, total: int
+    ) -> None:
+        """Process the total of a call by its kind; on failure, try another source of tokens."""
+        bucket.advance(now)
+        if kind == "previous":
+            self.on_previous_total(now, bucket, window, total if is_ok else None)
         elif kind == "lease":
-            b.pending = 0
-            if good and win == b.window and self.settle(now, b, total):
+            bucket.pending = 0
+            if is_ok and window == bucket.window and self.on_lease_total(now, bucket, total):
                 return
-            if not good and b.waiting:
-                self.refill(now, b)
+            if not is_ok and bucket.waiting:
+                self.request_tokens(now, bucket)
             else:
-                self.recheck(now, b, False)
-
-    def window_before(self, now: float, b: Bucket, win: int, total: int | None) -> None:
-        """How the window before ended has come, or failed to. Not known, it says nothing against what was
-        taken from a quota; under a ceiling the lease goes back, and whoever comes next opens the window."""
-        here = win == b.previous_window()
-        at_stake = b.correction is not None and b.plan.ceiling_rate > 0
-        if here and total is None and at_stake and b.previous_total_tries < OPENING_TRIES:
-            b.previous_total_tries += 1
-            self.call(b, "prev", win, 0)
+                self.retry_waiting(now, bucket, False)
+
+    def on_previous_total(self, now: float, bucket: Bucket, window: int, total: int | None) -> None:
+        """Carry over what the bucket lacked at the end of the previous window.
+
+        `total` is None if it could not be read. Under a ceiling, the lease is then returned, and the next
+        borrow reads the previous window again; a plain quota keeps its lease.
+        """
+        is_current = window == bucket.previous_window()
+        must_know = bucket.correction is not None and bucket.plan.ceiling_rate > 0
+        if (
+            is_current
+            and total is None
+            and must_know
+            and bucket.previous_total_tries < MAX_PREVIOUS_TOTAL_TRIES
+        ):
+            bucket.previous_total_tries += 1
+            self.send_counter_call(bucket, "previous", window, 0)
             return
-        amount = b.carry_over(total) if here and total is not None else 0
-        opening, b.correction = b.correction, None
-        if opening is None:
-            self.put_right(b, amount)
+        amount = bucket.carry_over(total) if is_current and total is not None else 0
+        correction, bucket.correction = bucket.correction, None
+        if correction is None:
+            self.adjust_count(bucket, amount)
             return
-        b.pending = 0
-        given_back = here and total is None and b.plan.ceiling_rate > 0
-        if given_back:
-            b.counted_window = NO_WINDOW
-            self.put_right(b, opening - b.lease)
-        elif here:
-            self.keep_lease(now, b, opening + amount)
-        self.recheck(now, b, given_back)
-
-    def put_right(self, b: Bucket, amount: int) -> None:
-        """Add to the count, or take off, where it has come away from the store."""
+        bucket.pending = 0
+        lease_returned = is_current and total is None and bucket.plan.ceiling_rate > 0
+        if lease_returned:
+            bucket.counted_window = NO_WINDOW
+            self.adjust_count(bucket, correction - bucket.lease)
+        elif is_current:
+            self.keep_lease(now, bucket, correction + amount)
+        self.retry_waiting(now, bucket, lease_returned)
+
+    def adjust_count(self, bucket: Bucket, amount: int) -> None:
+        """Add `amount` milli-tokens to the shared count, to match the true level of the bucket."""
         if amount:
-            self.call(b, "back", b.window, amount)
-            b.added += amount
-
-    def settle(self, now: float, b: Bucket, total: int) -> bool:
-        """The borrow has answered: keep what fits, return the excess. Whoever opens a window has to hear how
-        the one before ended: whether what waits here waits for that, which it does where more than a request
-        of a quota is at stake."""
-        trusted = b.is_filled
-        opens, amount = b.apply_total(now, total)
-        if trusted:
-            self.overrun_share += COST_WEIGHT * ((b.level < 0) - self.overrun_share)
-        if opens:
-            self.call(b, "prev", b.previous_window(), 0)
-        if opens and (b.plan.ceiling_rate > 0 or len(b.waiting) > 1):
-            b.pending, b.correction, b.previous_total_tries = 1, amount, 1
+            self.send_counter_call(bucket, "adjust", bucket.window, amount)
+            bucket.added += amount
+
+    def on_lease_total(self, now: float, bucket: Bucket, total: int) -> bool:
+        """Keep the part of a lease that fits, and return the excess.
+
+        The gateway that opens a window reads the total of the previous one. Returns whether what waits has to
+        wait for that: always under a ceiling, else if more than one request waits.
+        """
+        was_filled = bucket.is_filled
+        opens_window, amount = bucket.apply_total(now, total)
+        if was_filled:
+            self.overrun_share += BORROW_AVERAGE_WEIGHT * ((bucket.level < 0) - self.overrun_share)
+        if opens_window:
+            self.send_counter_call(bucket, "previous", bucket.previous_window(), 0)
+        if opens_window and (bucket.plan.ceiling_rate > 0 or len(bucket.waiting) > 1):
+            bucket.pending, bucket.correction, bucket.previous_total_tries = 1, amount, 1
             return True
-        self.keep_lease(now, b, amount)
+        self.keep_lease(now, bucket, amount)
         return False
 
-    def keep_lease(self, now: float, b: Bucket, amount: int) -> None:
-        """Keep what the store holds of the lease. `amount` puts the count right beside that."""
-        need = b.waiting[0].cost if b.waiting else 0
-        keep = max(0, min(b.lease, int(b.level)))
-        if b.has_thin_share and need:
-            self.short_share += COST_WEIGHT * ((keep < need) - self.short_share)
-        if keep < need:  # not even one request fits: try again when the store has refilled that far
-            b.short_at = now
-            wanted = max(need, SCARCE_SHARE * b.capacity) if self.gap_ms else need
-            b.retry_at = now + max(self.cfg.tick_ms, min(b.fill_ms, (wanted - b.level) / b.rate))
-            if b.home_rank and self.direct_share < 0.5:  # a few at a time, with fewer calls
-                b.retry_at = max(b.retry_at, now + b.fill_ms * SHORT_WAIT)
-            keep = 0
-        b.add_lease(now, keep)
-        if b.home_rank and self.direct_share < 0.5:  # with the next call: nobody else borrows for it
-            b.uncounted_tokens -= b.lease - keep
+    def keep_lease(self, now: float, bucket: Bucket, amount: int) -> None:
+        """Keep what the bucket can cover of the lease; `amount` is a further correction of the count."""
+        needed = bucket.waiting[0].cost if bucket.waiting else 0
+        kept = max(0, min(bucket.lease, int(bucket.level)))
+        if bucket.has_thin_share and needed:
+            self.short_share += BORROW_AVERAGE_WEIGHT * ((kept < needed) - self.short_share)
+        if kept < needed:
+            # No request fits: retry when the bucket has refilled far enough.
+            bucket.short_at = now
+            wanted = max(needed, THROTTLED_REFILL_SHARE * bucket.capacity) if self.call_gap_ms else needed
+            bucket.retry_at = now + max(
+                self.settings.tick_ms, min(bucket.fill_ms, (wanted - bucket.level) / bucket.rate)
+            )
+            if bucket.home_rank and self.direct_share < 0.5:
+                # Serve several borrows of peers with one call.
+                bucket.retry_at = max(bucket.retry_at, now + bucket.fill_ms * HOME_RETRY_SHARE)
+            kept = 0
+        bucket.add_lease(now, kept)
+        if bucket.home_rank and self.direct_share < 0.5:
+            # The next call returns the excess, as no other gateway borrows for this customer.
+            bucket.uncounted_tokens -= bucket.lease - kept
         else:
-            amount -= b.lease - keep
-        self.put_right(b, amount)
-
-    def recheck(self, now: float, b: Bucket, failed: bool) -> None:
-        queue, b.waiting, b.sources_tried, b.was_asked_again = b.waiting, deque(), 0, False
-        for req in (x for x in queue if not x.done):
-            (self.alone if failed else self.admit)(now, req)
-
-    # Backends.
-
-    def on_backends(self, now: float, e: io.BackendsChanged) -> None:
-        if e.kind is io.ListKind.FAILED:
-            if self.cfg.must_poll:
-                self.at(now + min(RESUBSCRIBE_MS, self.cfg.poll_interval_ms / 4), self.subscribe, None)
+            amount -= bucket.lease - kept
+        self.adjust_count(bucket, amount)
+
+    def retry_waiting(self, now: float, bucket: Bucket, without_source: bool) -> None:
+        """Admit again all that waits, or decide it locally if no source of tokens answered."""
+        waiting, bucket.waiting, bucket.sources_tried, bucket.was_asked_again = (
+            bucket.waiting,
+            deque(),
+            0,
+            False,
+        )
+        for request in (queued for queued in waiting if not queued.done):
+            (self.decide_locally if without_source else self.admit)(now, request)
+
+    # Backends and attempts
+
+    def on_backends_changed(self, now: float, event: io.BackendsChanged) -> None:
+        """Apply a list of backends or a change of it."""
+        if event.kind is io.ListKind.FAILED:
+            if self.settings.must_poll:
+                self.schedule(
+                    now + min(MAX_RESUBSCRIBE_DELAY_MS, self.settings.poll_interval_ms / 4),
+                    self.subscribe,
+                    None,
+                )
             return
-        if e.kind is not io.ListKind.DELTA and self.pool.retain(entry.id for entry in e.backends):
+        if event.kind is not io.ListKind.DELTA and self.pool.retain(entry.id for entry in event.backends):
             self.cold_pacer.on_backends_left(now)
-        if self.limit <= 0:  # the first list
-            self.remembered = bool(e.backends)
-            if not self.cfg.clocks_in_sync:
-                self.starts.load_first_list(e.backends)
-            self.at(now + IDLE_MS, self.sweep, None)
+        if self.attempt_limit <= 0:  # the first list
+            self.first_list_had_backends = bool(event.backends)
+            if not self.settings.clocks_in_sync:
+                self.start_times.load_first_list(event.backends)
+            self.schedule(now + CUSTOMER_IDLE_MS, self.sweep, None)
             if not self.fleet_time.is_known:
-                self.read_time(now)
-            if self.cfg.must_poll:
+                self.read_fleet_time(now)
+            if self.settings.must_poll:
                 self.subscribe(now, None)
-            self.limit = min(self.cfg.most_out, INITIAL_SLOTS * len(e.backends) / max(1, self.cfg.gateways))
-        for entry in e.backends:
-            server = self.tracked.get(entry.id)
-            another = server is None or entry.started_ms != server.start_ms  # process: nothing is known of it
-            if server is not None:
-                if server.usable and (another or entry.state is not BackendState.UP):
+            self.attempt_limit = min(
+                self.settings.most_out,
+                INITIAL_ATTEMPTS_PER_BACKEND * len(event.backends) / max(1, self.settings.gateways),
+            )
+        for entry in event.backends:
+            backend = self.tracked.get(entry.id)
+            # A new process inherits nothing of what was learned of the one before.
+            is_new_process = backend is None or entry.started_ms != backend.start_ms
+            if backend is not None:
+                if backend.usable and (is_new_process or entry.state is not BackendState.UP):
                     self.cold_pacer.on_backends_left(now)
-                self.pool.mark_unusable(server)
-            if another:
-                server = TrackedBackend(entry, now, self.rng.random())
-                self.starts.record_start(server, now, self.max_age_ms(e))
-            server.update(entry)
-            (self.pool.mark_usable if entry.state is BackendState.UP else self.pool.mark_unusable)(server)
-        if e.kind is io.ListKind.DELTA and self.send_rate <= 0.0:  # the first list may come in parts
-            more = min(self.cfg.most_out, INITIAL_SLOTS * len(self.usable) / max(1, self.cfg.gateways))
-            self.limit = max(self.limit, more)
+                self.pool.mark_unusable(backend)
+            if is_new_process:
+                backend = TrackedBackend(entry, now, self.rng.random())
+                self.start_times.record_start(backend, now, self.max_age_ms(event))
+            backend.update(entry)
+            (self.pool.mark_usable if entry.state is BackendState.UP else self.pool.mark_unusable)(backend)
+        # The first list may come in several parts.
+        if event.kind is io.ListKind.DELTA and self.send_rate <= 0.0:
+            limit = min(
+                self.settings.most_out,
+                INITIAL_ATTEMPTS_PER_BACKEND * len(self.usable) / max(1, self.settings.gateways),
+            )
+            self.attempt_limit = max(self.attempt_limit, limit)
         if self.send_rate <= 0.0:
-            self.known = len(self.usable)
-        self.pump(now)
+            self.mean_usable_count = len(self.usable)
+        self.send_queued(now)
 
-    def max_age_ms(self, e: io.BackendsChanged) -> float:
-        """How long ago what this list tells of for the first time can have started."""
-        at_start = e.kind is io.ListKind.CACHED or not self.remembered and self.send_rate <= 0.0
-        return math.inf if at_start or self.cfg.clocks_in_sync else DISCOVERY_DELAY_MS + e.outage_ms
+    def max_age_ms(self, event: io.BackendsChanged) -> float:
+        """The greatest age of a backend that this list names for the first time, in ms."""
+        at_start = (
+            event.kind is io.ListKind.CACHED or not self.first_list_had_backends and self.send_rate <= 0.0
+        )
+        return math.inf if at_start or self.settings.clocks_in_sync else DISCOVERY_DELAY_MS + event.outage_ms
 
-    def subscribe(self, now: float, _arg) -> None:
+    def subscribe(self, now: float, _argument) -> None:
+        """Ask discovery for the list of backends."""
         self.actions.append(io.Subscribe())
 
-    def penalize(self, now: float, x: TrackedBackend, least: float) -> None:
-        """No service: slow as the time waited in vain, twice as slow as before, forgotten with time. Guards
-        against backends silent, gone, standing still, full, or failing at once and so looking idle and quick;
-        where all look so, none is avoided. One merely slow answer sends work elsewhere for some seconds."""
-        most = AVOID_TIMES * max(self.aim, self.mean_ms)
-        x.has_failed = True
-        x.latency_ms, x.latency_at = min(most, max(2.0 * x.expected_ms(now, self.mean_ms), least)), now
-        self.note(now, "avoided", x.latency_ms == most, x.id)
-
-    def borne(self) -> float:
-        """Over how many backends at least the load of cold ones is worked out."""
-        return min(1.0, RECENT_COUNT_FACTOR / max(self.cfg.fall_multiple, 1e-3)) * self.known
-
-    def warm(self, now: float, x: TrackedBackend, warmth: float) -> bool:
-        """Slow start: a cold backend gets its cold share of what a warm one gets from this gateway."""
-        # Where most of the others have gone, the rest can bear no more for that.
-        rate = self.send_rate / max(1.0, len(self.usable), self.borne()) * warmth
-        return self.cold_pacer.may_send(x, now, rate)
-
-    def draw(self, now: float, req: Request) -> list[TrackedBackend]:
-        """Candidates out of many backends, each with odds by its present capacity. Of so many a gateway sees
-        too little to tell which is loaded: the whole fleet's choices have to add up to what each can bear. A
-        cold one has but one chance with each request, and is not weighed against others: it gets no more from
-        the whole fleet where the others fail."""
-        found: list[TrackedBackend] = []
-        first, req.drawn = not req.drawn, True
-        chance = len(self.usable) / max(self.capacity * len(self.usable), self.borne())
+    def penalize(self, now: float, backend: TrackedBackend, min_latency_ms: float) -> None:
+        """Raise the latency expected of a backend after a failure.
+
+        It at least doubles, up to a bound, and fades with time. So traffic leaves backends that are silent,
+        gone, stalled or full, or that fail at once and would look idle and fast. If all backends fail, none
+        is avoided. `min_latency_ms` is the time already waited in vain.
+        """
+        max_latency_ms = MAX_PENALTY_FACTOR * max(self.min_target_ms, self.mean_latency_ms)
+        backend.has_failed = True
+        backend.latency_ms, backend.latency_at = (
+            min(max_latency_ms, max(2.0 * backend.expected_ms(now, self.mean_latency_ms), min_latency_ms)),
+            now,
+        )
+        self.log_state(now, "avoided", backend.latency_ms == max_latency_ms, backend.id)
+
+    def min_sharing_backends(self) -> float:
+        """The least number of backends over which the load of cold ones is computed."""
+        return min(1.0, RECENT_COUNT_FACTOR / max(self.settings.fall_multiple, 1e-3)) * self.mean_usable_count
+
+    def may_send_to_cold(self, now: float, backend: TrackedBackend, warmth: float) -> bool:
+        """Slow start: a cold backend gets the share `warmth` of the rate of a warm one."""
+        # If most backends have left, the remaining cold ones must not get the load of all.
+        rate = self.send_rate / max(1.0, len(self.usable), self.min_sharing_backends()) * warmth
+        return self.cold_pacer.may_send(backend, now, rate)
+
+    def draw_candidates(self, now: float, request: Request) -> list[TrackedBackend]:
+        """Draw candidates from a large list, with odds by their present capacity.
+
+        A gateway of a large fleet sees too few attempts at each backend to tell its load, so the choices of
+        all gateways have to add up to each backend's capacity. A cold backend is returned alone, with one
+        chance for each request, so that it gets no more when other backends fail.
+        """
+        candidates: list[TrackedBackend] = []
+        is_first_draw, request.was_drawn = not request.was_drawn, True
+        cold_factor = len(self.usable) / max(
+            self.mean_capacity * len(self.usable), self.min_sharing_backends()
+        )
         for _ in range(SAMPLE_SIZE):
-            x = self.usable[int(self.rng.random() * len(self.usable))]
-            warmth = self.starts.warm_share(x, now)
-            part = x.weight * warmth / self.pool.max_weight
-            self.capacity += CAPACITY_WEIGHT * (part - self.capacity)
-            part /= TRIAL_LOAD if x.has_failed else 1.0
-            if warmth < 1.0 and first and self.rng.random() < part * chance:
-                return [x]
-            first = False
-            if warmth >= 1.0 and self.rng.random() < part:
-                found.append(x)
-                if len(found) == CHOICES:
+            backend = self.usable[int(self.rng.random() * len(self.usable))]
+            warmth = self.start_times.warm_share(backend, now)
+            capacity = backend.weight * warmth / self.pool.max_weight
+            self.mean_capacity += CAPACITY_AVERAGE_WEIGHT * (capacity - self.mean_capacity)
+            capacity /= FAILED_LOAD_FACTOR if backend.has_failed else 1.0
+            if warmth < 1.0 and is_first_draw and self.rng.random() < capacity * cold_factor:
+                return [backend]
+            is_first_draw = False
+            if warmth >= 1.0 and self.rng.random() < capacity:
+                candidates.append(backend)
+                if len(candidates) == MAX_CANDIDATES:
                     break
-        return found
+        return candidates
+
+    def pick_backend(self, now: float, request: Request) -> TrackedBackend | None:
+        """Choose the backend for the next attempt; None if there is none.
 
-    def pick(self, now: float, req: Request) -> TrackedBackend | None:
-        anchor, cls = req.anchor(), req.cls
+        The least loaded of the candidates by own open attempts, expected latency, weight and warm share.
+        Backends that the request tried before are left out. A keyed request stays in the scope of its key,
+        and ends with it.
+        """
+        first_run, request_class = request.first_possible_run(), request.request_class
         if (
-            anchor is not None
-            and cls.idempotency is Idempotency.KEYED
-            and now >= anchor.sent + cls.key_ttl_ms * 0.95
+            first_run is not None
+            and request_class.idempotency is Idempotency.KEYED
+            and now >= first_run.sent_at + request_class.key_ttl_ms * 0.95
         ):
             return None
-        tried = {a.backend.id for a in req.attempts}
-        pool = self.usable
-        if anchor is not None and cls.idempotency is Idempotency.KEYED and cls.key_scope != "all":
-            pool = self.pool.usable_in_same("zone" if cls.key_scope == "zone" else "cell", anchor.backend)
-        large = pool is self.usable and len(pool) > SAMPLE_SIZE
-        if large:
-            pool = self.draw(now, req)
-        elif len(pool) > SAMPLE_SIZE:
-            pool = self.rng.sample(pool, SAMPLE_SIZE)
-        best, best_score = None, float("inf")
-        for x in pool:
-            if x.id in tried:
+        tried_ids = {a.backend.id for a in request.attempts}
+        candidates = self.usable
+        if (
+            first_run is not None
+            and request_class.idempotency is Idempotency.KEYED
+            and request_class.key_scope != "all"
+        ):
+            candidates = self.pool.usable_in_same(
+                "zone" if request_class.key_scope == "zone" else "cell", first_run.backend
+            )
+        was_drawn = candidates is self.usable and len(candidates) > SAMPLE_SIZE
+        if was_drawn:
+            candidates = self.draw_candidates(now, request)
+        elif len(candidates) > SAMPLE_SIZE:
+            candidates = self.rng.sample(candidates, SAMPLE_SIZE)
+        best_backend, best_score = None, float("inf")
+        for backend in candidates:
+            if backend.id in tried_ids:
                 continue
-            # What was drawn by its present capacity is not weighed by it once more.
-            warmth, weight = (1.0, 1.0) if large else (self.starts.warm_share(x, now), x.weight)
-            if warmth < 1.0 and not self.warm(now, x, warmth):
+            # Drawn candidates already reflect weight and warm share.
+            warmth, weight = (
+                (1.0, 1.0) if was_drawn else (self.start_times.warm_share(backend, now), backend.weight)
+            )
+            if warmth < 1.0 and not self.may_send_to_cold(now, backend, warmth):
                 continue
-            # Told loads are old: all gateways would follow them to one backend.
-            load = len(x.open_attempts) * (TRIAL_LOAD if x.has_failed else 1.0)
-            # What may run again tries out a backend whose failure fades; the rest goes by the last seen.
-            latency = x.expected_ms(
-                now if cls.idempotency is Idempotency.SAFE else x.latency_at, self.mean_ms
+            # Reported loads are not used: they are old, and all gateways would choose the same backend.
+            load = len(backend.open_attempts) * (FAILED_LOAD_FACTOR if backend.has_failed else 1.0)
+            # Only safe requests try a backend again as its penalty fades; others use the undecayed latency.
+            latency = backend.expected_ms(
+                now if request_class.idempotency is Idempotency.SAFE else backend.latency_at,
+                self.mean_latency_ms,
             )
             score = (load + 1.0) * latency / (weight * warmth) * (1.0 + 0.02 * self.rng.random())
-            score *= CROSS_MALUS if x.zone != self.cfg.zone and self.cfg.cross_zone_price > 0 else 1.0
+            score *= (
+                CROSS_ZONE_FACTOR
+                if backend.zone != self.settings.zone and self.settings.cross_zone_price > 0
+                else 1.0
+            )
             if score < best_score:
-                best, best_score = x, score
-        return best
-
-    def dispatch(self, now: float, req: Request, spare: bool = False) -> None:
-        free = self.free(now)
-        self.pressed = self.pressed or not free
-        server = self.pick(now, req) if free else None
-        ahead = sum(1 for key, _, other in self.ready if key <= -req.price and not other.done)
-        queue_ms = (ahead + max(0.0, 1.0 - self.credit)) * self.mean_ms / max(self.limit, 1e-3)
-        if server is not None:
-            self.send(now, req, server)
-        elif spare:
-            self.finish(now, req, io.Reject(req.id))
-        elif now + queue_ms * HOLD_ODDS >= req.aim - self.mean_ms - self.dev_ms:
-            self.end(now, req)  # at once, rather than after a wait in vain
+                best_backend, best_score = backend, score
+        return best_backend
+
+    def dispatch(self, now: float, request: Request, is_over_quota: bool = False) -> None:
+        """Send a request now, queue it, or answer it if it could not be served in time.
+
+        A request beyond its quota (`is_over_quota`) is never queued.
+        """
+        may_send = self.may_send_attempt(now)
+        self.is_limit_reached = self.is_limit_reached or not may_send
+        backend = self.pick_backend(now, request) if may_send else None
+        ahead_count = sum(
+            1 for key, _, other in self.send_queue if key <= -request.priority and not other.done
+        )
+        queue_ms = (
+            (ahead_count + max(0.0, 1.0 - self.send_credit))
+            * self.mean_latency_ms
+            / max(self.attempt_limit, 1e-3)
+        )
+        if backend is not None:
+            self.send_attempt(now, request, backend)
+        elif is_over_quota:
+            self.finish(now, request, io.Reject(request.id))
+        elif (
+            now + queue_ms * QUEUE_WAIT_FACTOR
+            >= request.target_at - self.mean_latency_ms - self.latency_dev_ms
+        ):
+            # The wait would be in vain.
+            self.reject_or_fail(now, request)
         else:
             self.seq += 1
-            heapq.heappush(self.ready, (-req.price, self.seq, req))
-            self.pace(now)
-            self.at(req.aim - self.mean_ms - self.dev_ms, self.give_up, req)
-
-    def free(self, now: float) -> bool:
-        """A small limit is kept as a pace: rounded up to one at each gateway it would bound nothing."""
-        gain = self.limit / self.mean_ms * (now - self.credit_at)
-        self.credit, self.credit_at = min(PACE_BURST, self.credit + gain), now
-        if self.limit >= PACE_BURST:
-            return self.attempts_out < self.limit
-        return self.attempts_out < min(PACE_BURST, self.cfg.most_out) and self.credit >= 1.0 - 1e-6
-
-    def send(self, now: float, req: Request, server: TrackedBackend) -> None:
-        attempt = Attempt(server, len(req.attempts), now)
-        if not req.attempts:
-            self.retry_tokens = min(HEDGE_BURST, self.retry_tokens + HEDGE_SHARE)
-            rate = self.send_rate * 0.5 ** ((now - self.rate_at) / MEMORY_MS)
-            self.send_rate, self.rate_at = rate + 0.693 / MEMORY_MS, now
-            self.known += CAPACITY_WEIGHT * (len(self.usable) - self.known)
-        req.attempts.append(attempt)
-        key = (req.id, attempt.no)
-        self.in_flight[key] = (attempt, req)
-        server.open_attempts[key] = now
+            heapq.heappush(self.send_queue, (-request.priority, self.seq, request))
+            self.schedule_paced_send(now)
+            self.schedule(
+                request.target_at - self.mean_latency_ms - self.latency_dev_ms, self.give_up, request
+            )
+
+    def may_send_attempt(self, now: float) -> bool:
+        """Whether one more attempt may be in flight.
+
+        A small limit is enforced as a rate: rounded up to one attempt at each gateway, it would bound
+        nothing.
+        """
+        gained = self.attempt_limit / self.mean_latency_ms * (now - self.send_credit_at)
+        self.send_credit, self.send_credit_at = min(PACING_LIMIT, self.send_credit + gained), now
+        if self.attempt_limit >= PACING_LIMIT:
+            return self.attempts_out < self.attempt_limit
+        return (
+            self.attempts_out < min(PACING_LIMIT, self.settings.most_out) and self.send_credit >= 1.0 - 1e-6
+        )
+
+    def send_attempt(self, now: float, request: Request, backend: TrackedBackend) -> None:
+        """Send a request to a backend, and set the timer for a late answer."""
+        attempt = Attempt(backend, len(request.attempts), now)
+        if not request.attempts:
+            self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_TOKENS_PER_REQUEST)
+            rate = self.send_rate * 0.5 ** ((now - self.send_rate_at) / AVERAGING_MS)
+            self.send_rate, self.send_rate_at = rate + 0.693 / AVERAGING_MS, now
+            self.mean_usable_count += CAPACITY_AVERAGE_WEIGHT * (len(self.usable) - self.mean_usable_count)
+        request.attempts.append(attempt)
+        key = (request.id, attempt.number)
+        self.in_flight[key] = (attempt, request)
+        backend.open_attempts[key] = now
         self.attempts_out += 1
-        self.credit = max(0.0, self.credit - 1.0)
-        req.bucket.open_count += 1
-        server.cold_tokens -= 1.0
-        self.actions.append(io.Send(req.id, server.id, req.deadline))
-        self.at(now + self.mean_ms + RTO_DEVS * self.dev_ms, self.hedge, (req, attempt))
-
-    def hedge(self, now: float, arg) -> None:
-        """No answer within the usual time: the backend is avoided, and a second copy sent where allowed; none
-        while all backends are slow, as copies would make them slower still."""
-        req, attempt = arg
-        if attempt.out and attempt.backend.last_heard_at < attempt.sent:
-            self.penalize(now, attempt.backend, now - attempt.sent)
-        copy = self.cfg.may_duplicate and req.cls.idempotency is not Idempotency.UNSAFE and not req.stream
-        crowded = self.attempts_out >= max(2.0, self.limit) or self.slowness > TARGET_AIM
-        if attempt.out and copy and not req.done and not crowded:
-            self.again(now, req)
-
-    def again(self, now: float, req: Request, free: bool = False) -> bool:
-        """A further attempt; free after one that never ran, as it cost the backends nothing."""
-        spent = len(req.attempts) >= self.cfg.most_attempts or not free and self.retry_tokens < 1.0
-        server = None if spent or now > req.aim - self.mean_ms / 2 else self.pick(now, req)
-        if server is None:
+        self.send_credit = max(0.0, self.send_credit - 1.0)
+        request.bucket.open_count += 1
+        backend.cold_tokens -= 1.0
+        self.actions.append(io.Send(request.id, backend.id, request.deadline_at))
+        self.schedule(
+            now + self.mean_latency_ms + TIMEOUT_DEVIATIONS * self.latency_dev_ms,
+            self.on_answer_overdue,
+            (request, attempt),
+        )
+
+    def on_answer_overdue(self, now: float, argument) -> None:
+        """Penalize a silent backend and send a hedge where allowed.
+
+        No hedge is sent while all backends are slow, as it would add to the load.
+        """
+        request, attempt = argument
+        if attempt.is_open and attempt.backend.last_heard_at < attempt.sent_at:
+            self.penalize(now, attempt.backend, now - attempt.sent_at)
+        may_copy = (
+            self.settings.may_duplicate
+            and request.request_class.idempotency is not Idempotency.UNSAFE
+            and not request.is_stream
+        )
+        is_overloaded = (
+            self.attempts_out >= max(2.0, self.attempt_limit) or self.latency_share > OVERLOAD_LATENCY_SHARE
+        )
+        if attempt.is_open and may_copy and not request.done and not is_overloaded:
+            self.try_again(now, request)
+
+    def try_again(self, now: float, request: Request, is_free: bool = False) -> bool:
+        """Send a further attempt if budget and time allow; `is_free` after one that was not executed."""
+        is_exhausted = (
+            len(request.attempts) >= self.settings.most_attempts or not is_free and self.retry_tokens < 1.0
+        )
+        backend = (
+            None
+            if is_exhausted or now > request.target_at - self.mean_latency_ms / 2
+            else self.pick_backend(now, request)
+        )
+        if backend is None:
             return False
-        self.retry_tokens -= 0.0 if free else 1.0
-        self.send(now, req, server)
+        self.retry_tokens -= 0.0 if is_free else 1.0
+        self.send_attempt(now, request, backend)
         return True
 
-    def on_ended(self, now: float, e: io.AttemptEnded) -> None:
-        attempt, req = self.in_flight.pop((e.request, e.attempt), (None, None))
+    def on_attempt_ended(self, now: float, event: io.AttemptEnded) -> None:
+        """Record the outcome of an attempt, then answer the request or try again."""
+        attempt, request = self.in_flight.pop((event.request, event.attempt), (None, None))
         if attempt is None:
             return
-        server, b = attempt.backend, req.bucket
-        server.open_attempts.pop((e.request, e.attempt), None)
+        backend, bucket = attempt.backend, request.bucket
+        backend.open_attempts.pop((event.request, event.attempt), None)
         self.attempts_out -= 1
-        attempt.out, attempt.may_run = False, e.outcome not in NEVER_RAN
-        b.open_count -= 1
-        self.learn(now, server, req, e)
-        self.steer(now, req, e)
-        if e.final and not req.done:
-            if e.settled_units is not None and self.cfg.has_settled_units:
-                b.tokens -= round(e.settled_units * MILLI_PER_UNIT) - req.cost
-            self.finish(now, req, None)
-        elif not req.done and not any(a.out for a in req.attempts):
-            again = req.anchor() is None or req.cls.idempotency is not Idempotency.UNSAFE
-            if not (again and self.again(now, req, free=e.outcome in NEVER_RAN)):
-                self.end(now, req)
-        if b.gated:
-            gate, b.gated = b.gated, deque()
-            for held in (x for x in gate if not x.done):
-                self.granted(now, held)
-        self.pump(now)
-
-    def learn(self, now: float, x: TrackedBackend, req: Request, e: io.AttemptEnded) -> None:
-        if e.outcome not in (Outcome.TIMEOUT, Outcome.CANCELLED, Outcome.NOT_SENT):
-            x.last_heard_at = now
-        if e.outcome in (Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.OVERLOADED):
-            self.penalize(now, x, 0.0)
-        elif e.outcome in (Outcome.UNUSABLE_RESPONSE, Outcome.RESET):
-            # Any backend's answers may be, and kept connections end; where nearly all do, it is avoided. One
-            # that died refuses the next connection.
-            x.unusable_responses += 1
-            if x.unusable_responses > SPOILT_MOST:
-                self.penalize(now, x, 0.0)
-        elif e.outcome is Outcome.OK:
-            x.unusable_responses = 0
-            self.note(now, "avoided", False, x.id)
-            took = e.elapsed_ms
-            fresh, x.has_failed = x.has_failed or not x.latency_ms, False  # one good answer ends an ejection
-            before = self.mean_ms if fresh else x.expected_ms(now, self.mean_ms)
-            weight = 0.5 if fresh else 0.15
-            x.latency_ms, x.latency_at = before + weight * (took - before), now
-            weight = max(0.03, 0.5 * (now - self.mean_at) / (now - self.mean_at + MEMORY_MS))
-            self.mean_at = now
-            self.dev_ms += weight * (abs(took - self.mean_ms) - self.dev_ms)
-            self.mean_ms += weight * (took - self.mean_ms)
-
-    def steer(self, now: float, req: Request, e: io.AttemptEnded) -> None:
-        """The limit on own attempts out follows how much of their aims the answers take."""
-        ratio = min(1.0, e.elapsed_ms / req.cls.target_latency_ms)
-        answered = e.outcome in (Outcome.OK, Outcome.ERROR, Outcome.TIMEOUT, Outcome.UNUSABLE_RESPONSE)
-        if answered or e.outcome is Outcome.CANCELLED and ratio > self.slowness:
-            gap, self.answer_at = now - self.answer_at, now
-            self.slowness += max(0.05, gap / (gap + MEMORY_MS)) * (ratio - self.slowness)
-        if now - self.limit_at < self.mean_ms:
+        attempt.is_open, attempt.may_have_run = False, event.outcome not in NEVER_RAN
+        bucket.open_count -= 1
+        self.update_latency(now, backend, request, event)
+        self.update_attempt_limit(now, request, event)
+        if event.final and not request.done:
+            if event.settled_units is not None and self.settings.has_settled_units:
+                bucket.tokens -= round(event.settled_units * MILLI_PER_UNIT) - request.cost
+            self.finish(now, request, None)
+        elif not request.done and not any(a.is_open for a in request.attempts):
+            may_retry = (
+                request.first_possible_run() is None
+                or request.request_class.idempotency is not Idempotency.UNSAFE
+            )
+            if not (may_retry and self.try_again(now, request, is_free=event.outcome in NEVER_RAN)):
+                self.reject_or_fail(now, request)
+        if bucket.gated:
+            gated, bucket.gated = bucket.gated, deque()
+            for released in (gated_request for gated_request in gated if not gated_request.done):
+                self.on_granted(now, released)
+        self.send_queued(now)
+
+    def update_latency(
+        self, now: float, backend: TrackedBackend, request: Request, event: io.AttemptEnded
+    ) -> None:
+        """Update a backend's latency and penalty, and the mean latency, from an outcome."""
+        if event.outcome not in (Outcome.TIMEOUT, Outcome.CANCELLED, Outcome.NOT_SENT):
+            backend.last_heard_at = now
+        if event.outcome in (Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.OVERLOADED):
+            self.penalize(now, backend, 0.0)
+        elif event.outcome in (Outcome.UNUSABLE_RESPONSE, Outcome.RESET):
+            # Single ones happen at healthy backends, as when a kept-alive connection is closed.
+            backend.unusable_responses += 1
+            if backend.unusable_responses > MAX_UNUSABLE_RESPONSES:
+                self.penalize(now, backend, 0.0)
+        elif event.outcome is Outcome.OK:
+            backend.unusable_responses = 0
+            self.log_state(now, "avoided", False, backend.id)
+            elapsed_ms = event.elapsed_ms
+            # One good answer ends the penalty.
+            is_fresh, backend.has_failed = backend.has_failed or not backend.latency_ms, False
+            expected_ms = self.mean_latency_ms if is_fresh else backend.expected_ms(now, self.mean_latency_ms)
+            weight = 0.5 if is_fresh else 0.15
+            backend.latency_ms, backend.latency_at = expected_ms + weight * (elapsed_ms - expected_ms), now
+            weight = max(
+                0.03, 0.5 * (now - self.mean_latency_at) / (now - self.mean_latency_at + AVERAGING_MS)
+            )
+            self.mean_latency_at = now
+            self.latency_dev_ms += weight * (abs(elapsed_ms - self.mean_latency_ms) - self.latency_dev_ms)
+            self.mean_latency_ms += weight * (elapsed_ms - self.mean_latency_ms)
+
+    def update_attempt_limit(self, now: float, request: Request, event: io.AttemptEnded) -> None:
+        """Adapt the limit on attempts in flight to the latencies, relative to their targets."""
+        ratio = min(1.0, event.elapsed_ms / request.request_class.target_latency_ms)
+        was_answered = event.outcome in (
+            Outcome.OK,
+            Outcome.ERROR,
+            Outcome.TIMEOUT,
+            Outcome.UNUSABLE_RESPONSE,
+        )
+        if was_answered or event.outcome is Outcome.CANCELLED and ratio > self.latency_share:
+            gap_ms, self.last_answer_at = now - self.last_answer_at, now
+            self.latency_share += max(0.05, gap_ms / (gap_ms + AVERAGING_MS)) * (ratio - self.latency_share)
+        if now - self.attempt_limit_at < self.mean_latency_ms:
             return
-        steps, self.limit_at = min(5.0, (now - self.limit_at) / self.mean_ms), now
-        self.note(now, "backends crowded", self.slowness > 1.2 * TARGET_AIM)
-        if self.slowness > TARGET_AIM:
-            # Where one attempt for each backend is slow, the work itself is, and refusing makes it no faster.
-            least = len(self.usable) / max(1, self.cfg.gateways)
-            self.limit = max(least, self.limit * max((1.0 - FLEET_STEP) ** steps, TARGET_AIM / self.slowness))
-        elif self.pressed or self.attempts_out + 1 >= max(2.0, self.limit * 0.7):
-            step = self.limit * FLEET_STEP
-            self.limit += max(min(0.5, step), step * (1.0 - self.slowness / TARGET_AIM)) * steps
-            self.pressed = False
-        self.limit = min(self.cfg.most_out, self.limit)
-
-    def pump(self, now: float, _arg=None) -> None:
-        while self.ready and self.free(now):
-            req = self.ready[0][2]
-            gone = req.done or bool(req.attempts)
-            server = None if gone else self.pick(now, req)
-            if server is None and not gone:
+        steps, self.attempt_limit_at = min(5.0, (now - self.attempt_limit_at) / self.mean_latency_ms), now
+        self.log_state(now, "backends crowded", self.latency_share > 1.2 * OVERLOAD_LATENCY_SHARE)
+        if self.latency_share > OVERLOAD_LATENCY_SHARE:
+            # With one attempt at each backend the work itself is slow, and a lower limit does not help.
+            min_limit = len(self.usable) / max(1, self.settings.gateways)
+            self.attempt_limit = max(
+                min_limit,
+                self.attempt_limit
+                * max((1.0 - LIMIT_STEP_SHARE) ** steps, OVERLOAD_LATENCY_SHARE / self.latency_share),
+            )
+        elif self.is_limit_reached or self.attempts_out + 1 >= max(2.0, self.attempt_limit * 0.7):
+            step = self.attempt_limit * LIMIT_STEP_SHARE
+            self.attempt_limit += (
+                max(min(0.5, step), step * (1.0 - self.latency_share / OVERLOAD_LATENCY_SHARE)) * steps
+            )
+            self.is_limit_reached = False
+        self.attempt_limit = min(self.settings.most_out, self.attempt_limit)
+
+    def send_queued(self, now: float, _argument=None) -> None:
+        """Send queued requests, those of the highest priority first, while attempts are free."""
+        while self.send_queue and self.may_send_attempt(now):
+            request = self.send_queue[0][2]
+            is_obsolete = request.done or bool(request.attempts)
+            backend = None if is_obsolete else self.pick_backend(now, request)
+            if backend is None and not is_obsolete:
                 return
-            heapq.heappop(self.ready)
-            if server is not None:
-                self.send(now, req, server)
-        self.pace(now)
+            heapq.heappop(self.send_queue)
+            if backend is not None:
+                self.send_attempt(now, request, backend)
+        self.schedule_paced_send(now)
 
-    def pace(self, now: float) -> None:
-        if self.ready and self.limit < PACE_BURST and self.pace_at <= now and self.credit < 1.0 - 1e-6:
-            self.pace_at = now + self.cfg.tick_ms + (1.0 - self.credit) * self.mean_ms / max(self.limit, 1e-3)
-            self.at(self.pace_at, self.pump, None)
+    def schedule_paced_send(self, now: float) -> None:
+        """Set a timer for the next queued request while the limit is enforced as a rate."""
+        if (
+            self.send_queue
+            and self.attempt_limit < PACING_LIMIT
+            and self.paced_send_at <= now
+            and self.send_credit < 1.0 - 1e-6
+        ):
+            self.paced_send_at = (
+                now
+                + self.settings.tick_ms
+                + (1.0 - self.send_credit) * self.mean_latency_ms / max(self.attempt_limit, 1e-3)
+            )
+            self.schedule(self.paced_send_at, self.send_queued, None)
 
-    def give_up(self, now: float, req: Request) -> None:
+    def give_up(self, now: float, request: Request) -> None:
+        """Answer a request that was not sent in time, or that reaches its deadline."""
         if (
-            not req.done
-            and not req.stream
-            and (not req.attempts or now >= req.deadline - 2 * self.cfg.tick_ms)
+            not request.done
+            and not request.is_stream
+            and (not request.attempts or now >= request.deadline_at - 2 * self.settings.tick_ms)
         ):
-            self.end(now, req)
-
-    def end(self, now: float, req: Request) -> None:
-        self.finish(now, req, io.Reject(req.id) if req.may_refuse() else io.Fail(req.id))
-
-    def finish(self, now: float, req: Request, answer) -> None:
-        """The one exit of a request."""
-        req.done = True
-        self.requests.pop(req.id, None)
-        if req.paid and not req.attempts:  # never sent on: not used
-            req.bucket.tokens += req.paid
-            req.bucket.spend(-req.paid)
+            self.reject_or_fail(now, request)
+
+    def reject_or_fail(self, now: float, request: Request) -> None:
+        """Answer a request without a response: `Reject` where a new try is safe, else `Fail`."""
+        self.finish(now, request, io.Reject(request.id) if request.may_reject() else io.Fail(request.id))
+
+    def finish(self, now: float, request: Request, answer) -> None:
+        """End a request: refund what it did not use, answer it, and cancel its open attempts."""
+        request.done = True
+        self.requests.pop(request.id, None)
+        if request.charged and not request.attempts:
+            request.bucket.tokens += request.charged
+            request.bucket.spend(-request.charged)
         if answer is not None:
             self.actions.append(answer)
-        if self.cfg.may_cancel:
-            self.actions += [io.Cancel(req.id, a.no) for a in req.attempts if a.out]
-
-    def on_left(self, now: float, e: io.ClientDisconnected) -> None:
-        if e.request in self.requests:
-            self.finish(now, self.requests[e.request], None)
-
-    def on_stream(self, now: float, e: io.StreamStarted) -> None:
-        if e.request in self.requests:
-            self.requests[e.request].stream = True
-
-    def sweep(self, now: float, _arg) -> None:
-        self.at(now + IDLE_MS, self.sweep, None)
+        if self.settings.may_cancel:
+            self.actions += [io.Cancel(request.id, a.number) for a in request.attempts if a.is_open]
+
+    def on_client_disconnected(self, now: float, event: io.ClientDisconnected) -> None:
+        """End a request without an answer."""
+        if event.request in self.requests:
+            self.finish(now, self.requests[event.request], None)
+
+    def on_stream_started(self, now: float, event: io.StreamStarted) -> None:
+        """Exempt a request whose response has started from hedging and from the deadline."""
+        if event.request in self.requests:
+            self.requests[event.request].is_stream = True
+
+    def sweep(self, now: float, _argument) -> None:
+        """Drop idle customers and backends that have left."""
+        self.schedule(now + CUSTOMER_IDLE_MS, self.sweep, None)
         self.buckets = {
-            key: b
-            for key, b in self.buckets.items()
-            if now - b.last_used_at <= (KEEP_MS if b.is_filled else max(IDLE_MS, 2 * b.fill_ms))
-            or b.pending
-            or b.open_count
-            or b.waiting
-            or b.gated
+            key: bucket
+            for key, bucket in self.buckets.items()
+            if now - bucket.last_used_at
+            <= (FILLED_CUSTOMER_IDLE_MS if bucket.is_filled else max(CUSTOMER_IDLE_MS, 2 * bucket.fill_ms))
+            or bucket.pending
+            or bucket.open_count
+            or bucket.waiting
+            or bucket.gated
+        }
+        self.start_times.forget(self.pool.sweep())
+        self.logged_states = {
+            key: state for key, state in self.logged_states.items() if not key[1] or key[1] in self.tracked
         }
-        self.starts.forget(self.pool.sweep())
-        self.logged = {key: x for key, x in self.logged.items() if not key[1] or key[1] in self.tracked}
--- a/tests/test_borrow.py
+++ b/tests/test_borrow.py
@@ -184,7 +184,7 @@
         granted += bool(of_type(out, io.Send))
         p.answer_all(out)
     assert sum(totals.values()) > 0
-    assert granted >= 35 and p.gateway.gap_ms == 0.0
+    assert granted >= 35 and p.gateway.call_gap_ms == 0.0
 
 
 def test_own_use_is_put_back_on_a_counter_that_returned_empty():
@@ -222,7 +222,7 @@
     assert (
         [c.name for c in again if c.name == lease.name]
         and p.gateway.direct_share == 1.0
-        and p.gateway.gap_ms == 0.0
+        and p.gateway.call_gap_ms == 0.0
     )
     out = p.answer_counts(again, totals)
     assert [s.request for s in of_type(out, io.Send)] == [name]
@@ -254,7 +254,7 @@
     b.waiting.clear()
     name, out = p.request(plan="hard", customer="c1")
     assert of_type(out, io.Reject) and not of_type(out, io.Send)  # the counter is well: its word stands
-    p.gateway.gap_ms = 100.0
+    p.gateway.call_gap_ms = 100.0
     sent = 0
     for _ in range(20):
         name, out = p.request(plan="hard", customer="c1")
@@ -274,7 +274,7 @@
     assert (
         again
         and again[-1].amount == lease.amount
-        and (p.gateway.direct_share, p.gateway.gap_ms) == (1.0, 0.0)
+        and (p.gateway.direct_share, p.gateway.call_gap_ms) == (1.0, 0.0)
     )
     assert [s.request for s in of_type(p.answer_counts(again, {}), io.Send)] == [name]
 
@@ -328,7 +328,7 @@
 def test_while_calls_are_scarce_who_was_found_short_is_asked_about_with_half_a_store():
     p = thin()
     _, out = p.request(plan="basic", spread=40, units=4.0)
-    p.gateway.gap_ms = 64.0
+    p.gateway.call_gap_ms = 64.0
     p.answer_counts(out, {of_type(out, io.CounterAdd)[0].name: full(p)})
     b = p.gateway.buckets["basic", "c"]
     assert b.retry_at == p.now + 4000.0
--- a/tests/test_crowded.py
+++ b/tests/test_crowded.py
@@ -126,7 +126,7 @@
 
 def test_a_large_request_gets_its_call_before_a_small_one():
     p = thin()
-    p.gateway.gap_ms, p.gateway.next_call_at = 100.0, p.now + 50.0
+    p.gateway.call_gap_ms, p.gateway.next_call_at = 100.0, p.now + 50.0
     assert not of_type(p.request(plan="basic", spread=40, customer="small")[1], io.CounterAdd)
     assert of_type(p.request(plan="basic", spread=40, customer="large", units=8.0)[1], io.CounterAdd)
 
@@ -134,7 +134,7 @@
 def test_who_is_let_in_unasked_depends_on_what_borrows_found_and_on_its_cost():
     p = thin()
     p.gateway.rng.random = lambda: 0.5
-    p.gateway.gap_ms, p.gateway.next_call_at = 800.0, p.now + 1e6
+    p.gateway.call_gap_ms, p.gateway.next_call_at = 800.0, p.now + 1e6
     assert of_type(p.request(plan="basic", spread=40, customer="a")[1], io.Send)
     p.gateway.short_share = 0.5
     name, out = p.request(plan="basic", spread=40, customer="b")
@@ -158,11 +158,11 @@
         p.answer_counts(
             p.request(plan="basic", spread=40, customer=f"a{i}")[1], outcome=io.Outcome.OVERLOADED
         )
-    assert p.gateway.gap_ms > 500.0
+    assert p.gateway.call_gap_ms > 500.0
     for i in range(10):
         p.now += 1000.0
         p.answer_counts(p.request(plan="basic", spread=40, customer=f"b{i}")[1], {})
-    assert p.gateway.gap_ms < 20.0
+    assert p.gateway.call_gap_ms < 20.0
 
 
 def test_a_counter_that_is_far_off_is_not_taken_for_a_crowded_one():
@@ -171,7 +171,7 @@
         p.now += 100.0
         (call,) = of_type(p.request(plan="basic", spread=40, customer=f"a{i}")[1], io.CounterAdd)
         p.feed(io.CounterResult(call.name, io.Outcome.OK, 1.0, 31.0 if i % 2 else 33.0))  # of 50 ms
-        assert p.gateway.gap_ms == 0.0
+        assert p.gateway.call_gap_ms == 0.0
     (call,) = of_type(p.request(plan="basic", spread=40, customer="late")[1], io.CounterAdd)
     p.feed(io.CounterResult(call.name, io.Outcome.OK, 1.0, 45.0))
-    assert p.gateway.gap_ms > 0.0
+    assert p.gateway.call_gap_ms > 0.0
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -53,7 +53,7 @@
     p = GatewayHarness(entries(4000))
     p.update_backends(io.Backend("b7", state=io.BackendState.REMOVED), kind=io.ListKind.DELTA)
     Read.looks.clear()
-    p.advance(p.now + 2 * gateway.IDLE_MS)
+    p.advance(p.now + 2 * gateway.CUSTOMER_IDLE_MS)
     assert "b7" not in p.gateway.tracked and len(p.gateway.tracked) == 3999 and len(Read.looks) < 20
 
 
@@ -97,8 +97,12 @@
     whole, parts = GatewayHarness(entries(60)), GatewayHarness(())
     for i in range(0, 60, 20):
         parts.update_backends(*entries(60)[i : i + 20], kind=io.ListKind.DELTA)
-    assert parts.gateway.limit == whole.gateway.limit == gateway.INITIAL_SLOTS * 60 / 2
+    assert (
+        parts.gateway.attempt_limit
+        == whole.gateway.attempt_limit
+        == gateway.INITIAL_ATTEMPTS_PER_BACKEND * 60 / 2
+    )
     assert of_type(parts.request()[1], io.Send)
-    parts.gateway.limit = 5.0  # found out since
+    parts.gateway.attempt_limit = 5.0  # found out since
     parts.update_backends(io.Backend("new"), kind=io.ListKind.DELTA)
-    assert parts.gateway.limit == 5.0
+    assert parts.gateway.attempt_limit == 5.0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -53,7 +53,7 @@
     if where == "gate":
         requests = [p.request(plan="open") for _ in range(3)]
     else:
-        p.gateway.limit = 3.0
+        p.gateway.attempt_limit = 3.0
         requests = [p.request() for _ in range(5)]
     out = [name for name, acts in requests if of_type(acts, io.Send)]
     waiting = [name for name, acts in requests if not of_type(acts, io.Send)]
@@ -130,7 +130,7 @@
 
 def test_nothing_new_to_a_backend_that_drains_or_is_gone():
     p = GatewayHarness(("b1", "b2"))
-    p.gateway.limit = 50.0  # not what is tried here
+    p.gateway.attempt_limit = 50.0  # not what is tried here
     p.update_backends(io.Backend("b1", "z1", state=io.BackendState.DRAINING), kind=io.ListKind.DELTA)
     # it would be the better choice
     p.gateway.tracked["b1"].latency_ms, p.gateway.tracked["b2"].latency_ms = 10.0, 500.0
@@ -149,7 +149,7 @@
     cold = io.Backend("cold", "z1", started_ms=start - 10.0)
     p = GatewayHarness([cold, "w0", "w1", "w2", "w3"], at=start, gateways=1)
     p.gateway.tracked["cold"].latency_ms = 1.0  # quick as long as it has little to do
-    p.gateway.limit = 50.0  # not what is tried here
+    p.gateway.attempt_limit = 50.0  # not what is tried here
     for _ in range(100):
         p.now += 20.0
         p.request()
@@ -172,7 +172,7 @@
             sent += 1
             p.end_attempt(name)
     seconds = (p.now - start) / 1000.0
-    plan = p.gateway.cfg.plans["hard"]
+    plan = p.gateway.settings.plans["hard"]
     part = ((plan.ceiling_rate - plan.rate) * seconds + plan.ceiling_burst - plan.burst) / 2
     assert 0 < sent <= part
 
@@ -228,7 +228,7 @@
     p = GatewayHarness(("b1", "b2"))
     _, out = p.request(kind="pay")
     missed = of_type(out, io.Send)[0].backend
-    p.advance(p.now + p.gateway.mean_ms + 5 * p.gateway.dev_ms)
+    p.advance(p.now + p.gateway.mean_latency_ms + 5 * p.gateway.latency_dev_ms)
     others = [of_type(p.request(kind="pay")[1], io.Send)[0].backend for _ in range(2)]
     assert missed not in others
 
@@ -239,7 +239,9 @@
     for i in range(60):
         p.now += 20.0
         if i == 0:
-            p.gateway.tracked["b2"].latency_ms = p.gateway.tracked["b3"].latency_ms = 2 * p.gateway.mean_ms
+            p.gateway.tracked["b2"].latency_ms = p.gateway.tracked["b3"].latency_ms = (
+                2 * p.gateway.mean_latency_ms
+            )
         name, out = p.request()
         while sends := of_type(out, io.Send):
             turned = sends[0].backend == "b1"
@@ -256,11 +258,11 @@
     b1 = p.gateway.tracked["b1"]
     for _ in range(6):
         p.gateway.penalize(p.now, b1, 0.0)
-    assert b1.expected_ms(p.now, p.gateway.mean_ms) > 10 * p.gateway.mean_ms
+    assert b1.expected_ms(p.now, p.gateway.mean_latency_ms) > 10 * p.gateway.mean_latency_ms
     p.gateway.tracked["b2"].usable = p.gateway.tracked["b3"].usable = False
     p.gateway.usable = [b1]
     p.answer_all(p.request()[1])
-    assert b1.expected_ms(p.now, p.gateway.mean_ms) <= p.gateway.mean_ms
+    assert b1.expected_ms(p.now, p.gateway.mean_latency_ms) <= p.gateway.mean_latency_ms
 
 
 def test_a_restarted_backend_starts_without_its_past():
@@ -300,7 +302,7 @@
         p.advance(p.now + 2000.0)
     p.update_backends()
     p.advance(p.now + 30000.0)
-    assert not p.gateway.tracked and not [key for key in p.gateway.logged if key[1]]
+    assert not p.gateway.tracked and not [key for key in p.gateway.logged_states if key[1]]
     assert not p.gateway.in_flight and not p.gateway.requests and len(p.gateway.timers) < 5
 
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -10,9 +10,9 @@
 from cobaltline.gateway import (
     BORROW_GRANT,
     BORROW_REQUEST,
-    HEADER,
+    MESSAGE_HEADER,
+    MESSAGE_VERSION,
     SAMPLE_SIZE,
-    WIRE_VERSION,
     Bucket,
     Gateway,
     TrackedBackend,
@@ -86,13 +86,13 @@
 
 def test_a_home_that_does_not_answer_is_passed_over_for_the_next():
     fleet = Fleet(50)
-    first = Bucket("c", settings().plans["basic"], 0, 50, fleet.gateways[0].cfg, 0.0, IN_STEP).homes[0]
+    first = Bucket("c", settings().plans["basic"], 0, 50, fleet.gateways[0].settings, 0.0, IN_STEP).homes[0]
     fleet.lose = lambda sender, to: first in (sender, to)
     asker = (first + 1) % 50
     fleet.request(asker)
     for _ in range(14):  # two asks in vain, then the next home
         fleet.advance(50.0)
-    assert fleet.sent == 1 and fleet.gateways[asker].away.get(first, 0.0) > fleet.now - 1000.0
+    assert fleet.sent == 1 and fleet.gateways[asker].peer_skipped_until.get(first, 0.0) > fleet.now - 1000.0
 
 
 def test_refused_askers_are_told_turns_of_their_own():
@@ -120,14 +120,14 @@
     return p, name, of_type(out, io.SendPeerMessage)[0]
 
 
-def _message(kind, nonce, amount, wait=0, clock=0, text="", version=WIRE_VERSION):
-    body = HEADER.pack(version, kind, nonce, amount, wait, clock) + text.encode()
+def _message(kind, nonce, amount, wait=0, clock=0, text="", version=MESSAGE_VERSION):
+    body = MESSAGE_HEADER.pack(version, kind, nonce, amount, wait, clock) + text.encode()
     return body + zlib.crc32(body).to_bytes(4)
 
 
 def test_a_grant_is_believed_once_and_for_no_more_than_was_asked():
     p, name, ask = _asking()
-    nonce = HEADER.unpack_from(ask.payload)[2]
+    nonce = MESSAGE_HEADER.unpack_from(ask.payload)[2]
     grant = _message(BORROW_GRANT, nonce, 900000)
     assert of_type(p.feed(io.PeerMessage(ask.to, grant)), io.Send)
     bucket = next(iter(p.gateway.buckets.values()))
@@ -137,7 +137,7 @@
 
 def test_a_grant_from_somebody_else_or_after_its_time_gives_nothing():
     p, name, ask = _asking()
-    nonce = HEADER.unpack_from(ask.payload)[2]
+    nonce = MESSAGE_HEADER.unpack_from(ask.payload)[2]
     assert not of_type(
         p.feed(io.PeerMessage((ask.to + 1) % 40, _message(BORROW_GRANT, nonce, 1000))), io.Send
     )
@@ -203,7 +203,7 @@
     out = p.feed(io.PeerMessage(3, _message(BORROW_REQUEST, 5, 1000, clock=int(p.now), text="0 40 basic c")))
     told = of_type(p.answer_counts(out, {}), io.SendPeerMessage)
     assert len(told) == 1 and told[0].to == 3
-    assert HEADER.unpack_from(told[0].payload)[1:4] == (BORROW_GRANT, 5, 1000)
+    assert MESSAGE_HEADER.unpack_from(told[0].payload)[1:4] == (BORROW_GRANT, 5, 1000)
 
 
 @pytest.mark.parametrize("spread", [0, 1, 41, 10**9])
@@ -279,11 +279,11 @@
 
 def test_limits_on_attempts_out_below_one_a_gateway_are_kept_as_a_pace():
     p = GatewayHarness(gateways=300)
-    p.gateway.limit, p.gateway.mean_ms = 0.1, 200.0  # an attempt each two seconds
+    p.gateway.attempt_limit, p.gateway.mean_latency_ms = 0.1, 200.0  # an attempt each two seconds
     sent = 0
     for _ in range(100):
         p.now += 100.0
-        p.gateway.limit, p.gateway.mean_ms, p.gateway.slowness = 0.1, 200.0, 0.32
+        p.gateway.attempt_limit, p.gateway.mean_latency_ms, p.gateway.latency_share = 0.1, 200.0, 0.32
         _, out = p.request()
         sent += len(of_type(out, io.Send))
         p.answer_all(out, elapsed_ms=480.0)
