--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -1,4 +1,4 @@
-"""Many gateways: sums over all of them, homes that lend by messages, and what a garbled message does."""
+"""Many gateways: limits over all of them, borrowing from home gateways, and invalid messages."""
 
 import zlib
 
@@ -18,84 +18,101 @@
     TrackedBackend,
 )
 
-IN_STEP = FleetTime(is_known=True)
+KNOWN_TIME = FleetTime(is_known=True)
 
 
 class Fleet:
-    """Gateways, one clock, and messages carried at once; `lose` drops those for which it is true."""
-
-    def __init__(self, count, lose=lambda sender, to: False, **changes):
-        self.now, self.lose, self.n, self.sent, self.calls = 100000.0, lose, 0, 0, 0
+    """Gateways with one clock, messages without delay, and a counter that rejects every call.
+
+    `is_lost(sender, to)` tells which messages are dropped.
+    """
+
+    def __init__(self, count, is_lost=lambda sender, to: False, **changes):
+        self.now, self.is_lost, self.request_count, self.sent_count, self.call_count = (
+            100000.0,
+            is_lost,
+            0,
+            0,
+            0,
+        )
         self.gateways = [
-            Gateway(settings(node_id=i, gateways=count, may_message_peers=True, **changes), i)
-            for i in range(count)
+            Gateway(settings(node_id=node_id, gateways=count, may_message_peers=True, **changes), node_id)
+            for node_id in range(count)
         ]
         self.timers = []
-        for i in range(count):
+        for node_id in range(count):
             entries = tuple(io.Backend(f"b{k}", zone="z1") for k in range(4))
-            self.put(i, io.BackendsChanged(io.ListKind.CACHED, 1, entries))
-
-    def put(self, i, event):
-        for a in self.gateways[i].handle(self.now, event):
-            if isinstance(a, io.SendPeerMessage) and not self.lose(i, a.to):
-                self.put(a.to, io.PeerMessage(i, a.payload))
-            elif isinstance(a, io.CounterAdd):  # the counter refuses
-                self.calls += 1
-                self.put(i, io.CounterResult(a.name, io.Outcome.OVERLOADED))
-            elif isinstance(a, io.SetTimer):
-                self.timers.append((self.now + a.delay_ms, i))
-            elif isinstance(a, io.Send):
-                self.sent += 1
-                self.put(i, io.AttemptEnded(a.request, 0, a.backend, io.Outcome.OK, True, 50.0))
-
-    def request(self, i, plan="basic", customer="c"):
-        self.n += 1
-        self.put(
-            i,
+            self.deliver(node_id, io.BackendsChanged(io.ListKind.CACHED, 1, entries))
+
+    def deliver(self, node_id, event):
+        for action in self.gateways[node_id].handle(self.now, event):
+            if isinstance(action, io.SendPeerMessage) and not self.is_lost(node_id, action.to):
+                self.deliver(action.to, io.PeerMessage(node_id, action.payload))
+            elif isinstance(action, io.CounterAdd):
+                self.call_count += 1
+                self.deliver(node_id, io.CounterResult(action.name, io.Outcome.OVERLOADED))
+            elif isinstance(action, io.SetTimer):
+                self.timers.append((self.now + action.delay_ms, node_id))
+            elif isinstance(action, io.Send):
+                self.sent_count += 1
+                self.deliver(
+                    node_id, io.AttemptEnded(action.request, 0, action.backend, io.Outcome.OK, True, 50.0)
+                )
+
+    def request(self, node_id, plan="basic", customer="c"):
+        self.request_count += 1
+        self.deliver(
+            node_id,
             io.RequestArrived(
-                f"r{self.n}", customer, plan, "read", self.now + 4000.0, spread=len(self.gateways)
+                f"r{self.request_count}", customer, plan, "read", self.now + 4000.0, spread=len(self.gateways)
             ),
         )
 
-    def advance(self, ms):
-        self.now += ms
+    def advance(self, elapsed_ms):
+        self.now += elapsed_ms
         due = sorted(t for t in self.timers if t[0] <= self.now)
         self.timers = [t for t in self.timers if t[0] > self.now]
-        for _, i in due:
-            self.put(i, io.TimerFired("wake"))
+        for _, node_id in due:
+            self.deliver(node_id, io.TimerFired("wake"))
 
 
 @pytest.mark.parametrize("count", [2, 30, 300])
 def test_with_the_counter_down_a_quota_is_still_served_once_over_all_gateways(count):
     fleet = Fleet(count)
-    for k in range(240):  # 8 a second for 30 s, on a plan of 2 a second and 6 at once
+    for k in range(240):  # 8 requests a second for 30 s; the plan has a rate of 2 and a burst of 6
         fleet.request(k * 7 % count)
         fleet.advance(125.0)
     quota = 6 + 2 * 30
-    assert 0.7 * quota <= fleet.sent <= 1.15 * quota
+    assert 0.7 * quota <= fleet.sent_count <= 1.15 * quota
 
 
-def test_with_every_message_lost_shares_of_under_one_request_still_add_up_to_the_quota_at_most():
-    fleet = Fleet(100, lose=lambda sender, to: True)
+def test_with_all_messages_lost_shares_below_one_request_stay_within_the_quota():
+    fleet = Fleet(100, is_lost=lambda sender, to: True)
     for k in range(400):
         fleet.request(k * 7 % 100)
         fleet.advance(500.0)
     fleet.advance(2000.0)
-    assert 0 < fleet.sent <= 6 + 6 / 2 + 6 / 3 + (2 + 1 + 0.7) * 200  # what its three homes and the rest may
+    # the parts of the three home gateways and the rest
+    assert 0 < fleet.sent_count <= 6 + 6 / 2 + 6 / 3 + (2 + 1 + 0.7) * 200
 
 
-def test_a_home_that_does_not_answer_is_passed_over_for_the_next():
+def test_a_home_gateway_that_does_not_answer_is_skipped_for_the_next():
     fleet = Fleet(50)
-    first = Bucket("c", settings().plans["basic"], 0, 50, fleet.gateways[0].settings, 0.0, IN_STEP).homes[0]
-    fleet.lose = lambda sender, to: first in (sender, to)
-    asker = (first + 1) % 50
-    fleet.request(asker)
-    for _ in range(14):  # two asks in vain, then the next home
+    first_home = Bucket(
+        "c", settings().plans["basic"], 0, 50, fleet.gateways[0].settings, 0.0, KNOWN_TIME
+    ).homes[0]
+    fleet.is_lost = lambda sender, to: first_home in (sender, to)
+    borrower = (first_home + 1) % 50
+    fleet.request(borrower)
+    for _ in range(14):  # two timeouts, then the next home gateway
         fleet.advance(50.0)
-    assert fleet.sent == 1 and fleet.gateways[asker].peer_skipped_until.get(first, 0.0) > fleet.now - 1000.0
+    assert (
+        fleet.sent_count == 1
+        and fleet.gateways[borrower].peer_skipped_until.get(first_home, 0.0) > fleet.now - 1000.0
+    )
 
 
-def test_refused_askers_are_told_turns_of_their_own():
+def test_refused_peers_get_different_retry_times():
     fleet = Fleet(60)
     for k in range(60):
         fleet.request(k)
@@ -103,21 +120,27 @@
     assert len(waits) >= 3
 
 
-def _home_of(play_settings, plan="basic"):
-    return Bucket("c", play_settings.plans[plan], 0, 40, play_settings, 0.0, IN_STEP).homes[0]
+def _first_home(gateway_settings, plan="basic"):
+    return Bucket("c", gateway_settings.plans[plan], 0, 40, gateway_settings, 0.0, KNOWN_TIME).homes[0]
 
 
-def _asking():
-    """A gateway that is no home of customer c, with the counter failing, and the ask it sends."""
-    s = settings(gateways=40)
+def _harness_with_pending_borrow():
+    """A gateway that borrows from a home gateway of customer c: the harness, the request and the message."""
+    gateway_settings = settings(gateways=40)
     homes = Bucket(
-        "c", s.plans["basic"], 0, 40, settings(gateways=40, may_message_peers=True), 0.0, IN_STEP
+        "c",
+        gateway_settings.plans["basic"],
+        0,
+        40,
+        settings(gateways=40, may_message_peers=True),
+        0.0,
+        KNOWN_TIME,
     ).homes
-    me = next(i for i in range(40) if i not in homes)
-    p = GatewayHarness(node_id=me, gateways=40, may_message_peers=True)
-    p.gateway.direct_share = 0.0
-    name, out = p.request(plan="basic", spread=40)
-    return p, name, of_type(out, io.SendPeerMessage)[0]
+    node_id = next(i for i in range(40) if i not in homes)
+    harness = GatewayHarness(node_id=node_id, gateways=40, may_message_peers=True)
+    harness.gateway.direct_share = 0.0
+    name, actions = harness.request(plan="basic", spread=40)
+    return harness, name, of_type(actions, io.SendPeerMessage)[0]
 
 
 def _message(kind, nonce, amount, wait=0, clock=0, text="", version=MESSAGE_VERSION):
@@ -125,26 +148,26 @@
     return body + zlib.crc32(body).to_bytes(4)
 
 
-def test_a_grant_is_believed_once_and_for_no_more_than_was_asked():
-    p, name, ask = _asking()
-    nonce = MESSAGE_HEADER.unpack_from(ask.payload)[2]
+def test_a_grant_is_accepted_once_and_for_no_more_than_was_requested():
+    harness, name, request = _harness_with_pending_borrow()
+    nonce = MESSAGE_HEADER.unpack_from(request.payload)[2]
     grant = _message(BORROW_GRANT, nonce, 900000)
-    assert of_type(p.feed(io.PeerMessage(ask.to, grant)), io.Send)
-    bucket = next(iter(p.gateway.buckets.values()))
+    assert of_type(harness.feed(io.PeerMessage(request.to, grant)), io.Send)
+    bucket = next(iter(harness.gateway.buckets.values()))
     assert bucket.tokens == 0
-    assert not p.feed(io.PeerMessage(ask.to, grant)) and bucket.tokens == 0
+    assert not harness.feed(io.PeerMessage(request.to, grant)) and bucket.tokens == 0
 
 
-def test_a_grant_from_somebody_else_or_after_its_time_gives_nothing():
-    p, name, ask = _asking()
-    nonce = MESSAGE_HEADER.unpack_from(ask.payload)[2]
+def test_a_grant_from_another_gateway_or_after_the_timeout_is_ignored():
+    harness, name, request = _harness_with_pending_borrow()
+    nonce = MESSAGE_HEADER.unpack_from(request.payload)[2]
     assert not of_type(
-        p.feed(io.PeerMessage((ask.to + 1) % 40, _message(BORROW_GRANT, nonce, 1000))), io.Send
+        harness.feed(io.PeerMessage((request.to + 1) % 40, _message(BORROW_GRANT, nonce, 1000))), io.Send
     )
-    p.advance(p.now + 2 * p.gateway.peer_timeout_ms + 50.0)
-    before = next(iter(p.gateway.buckets.values())).tokens
-    p.feed(io.PeerMessage(ask.to, _message(BORROW_GRANT, nonce, 1000)))
-    assert next(iter(p.gateway.buckets.values())).tokens == before
+    harness.advance(harness.now + 2 * harness.gateway.peer_timeout_ms + 50.0)
+    before = next(iter(harness.gateway.buckets.values())).tokens
+    harness.feed(io.PeerMessage(request.to, _message(BORROW_GRANT, nonce, 1000)))
+    assert next(iter(harness.gateway.buckets.values())).tokens == before
 
 
 @pytest.mark.parametrize(
@@ -174,159 +197,165 @@
         "plan",
         "fields",
         "numbers",
-        "nothing",
+        "zero amount",
         "kind",
-        "unasked",
+        "not requested",
         "stale",
         "an hour ahead",
         "an hour behind",
     ],
 )
-def test_a_message_that_cannot_be_used_is_passed_over(payload):
-    s = settings(gateways=40, may_message_peers=True)
-    p = GatewayHarness(node_id=_home_of(s), gateways=40, may_message_peers=True)
-    assert not p.feed(io.PeerMessage(3, payload))
+def test_an_invalid_message_is_ignored(payload):
+    gateway_settings = settings(gateways=40, may_message_peers=True)
+    harness = GatewayHarness(node_id=_first_home(gateway_settings), gateways=40, may_message_peers=True)
+    assert not harness.feed(io.PeerMessage(3, payload))
 
 
-def test_what_homes_whose_clocks_are_an_hour_off_do_not_answer_is_asked_of_the_counter():
-    p, name, ask = _asking()
+def test_a_borrow_that_no_home_gateway_answers_goes_to_the_counter():
+    harness, name, request = _harness_with_pending_borrow()
     later = []
     for _ in range(3):
-        later += p.advance(p.now + 2 * p.gateway.peer_timeout_ms + 50.0)
+        later += harness.advance(harness.now + 2 * harness.gateway.peer_timeout_ms + 50.0)
     assert of_type(later, io.CounterAdd)
-    assert of_type(later + p.answer_counts(later, {}), io.Send)
+    assert of_type(later + harness.answer_counts(later, {}), io.Send)
 
 
-def test_a_home_lends_from_what_it_borrowed():
-    s = settings(gateways=40, may_message_peers=True)
-    p = GatewayHarness(node_id=_home_of(s), gateways=40, may_message_peers=True)
-    out = p.feed(io.PeerMessage(3, _message(BORROW_REQUEST, 5, 1000, clock=int(p.now), text="0 40 basic c")))
-    told = of_type(p.answer_counts(out, {}), io.SendPeerMessage)
-    assert len(told) == 1 and told[0].to == 3
-    assert MESSAGE_HEADER.unpack_from(told[0].payload)[1:4] == (BORROW_GRANT, 5, 1000)
+def test_a_home_gateway_grants_from_what_it_borrowed():
+    gateway_settings = settings(gateways=40, may_message_peers=True)
+    harness = GatewayHarness(node_id=_first_home(gateway_settings), gateways=40, may_message_peers=True)
+    actions = harness.feed(
+        io.PeerMessage(3, _message(BORROW_REQUEST, 5, 1000, clock=int(harness.now), text="0 40 basic c"))
+    )
+    messages = of_type(harness.answer_counts(actions, {}), io.SendPeerMessage)
+    assert len(messages) == 1 and messages[0].to == 3
+    assert MESSAGE_HEADER.unpack_from(messages[0].payload)[1:4] == (BORROW_GRANT, 5, 1000)
 
 
 @pytest.mark.parametrize("spread", [0, 1, 41, 10**9])
-def test_an_odd_spread_is_served_all_the_same(spread):
-    p = GatewayHarness(node_id=0, gateways=40, may_message_peers=True)
-    name, out = p.request(plan="basic", spread=spread)
+def test_a_spread_out_of_range_is_served(spread):
+    harness = GatewayHarness(node_id=0, gateways=40, may_message_peers=True)
+    name, actions = harness.request(plan="basic", spread=spread)
     totals = {}
-    sent = of_type(out + p.answer_counts(out, totals), io.Send)
-    assert sent or of_type(out, io.SendPeerMessage) or final_answers(p.actions, name)
+    sent = of_type(actions + harness.answer_counts(actions, totals), io.Send)
+    assert sent or of_type(actions, io.SendPeerMessage) or final_answers(harness.actions, name)
 
 
 @pytest.mark.parametrize("count", [2, 5, 48, 370])
-def test_unconfirmed_grants_under_a_ceiling_add_up_to_what_ceiling_and_quota_leave(count):
+def test_unconfirmed_grants_under_a_ceiling_add_up_to_at_most_the_ceiling_less_the_quota(count):
     plan = settings().plans["hard"]
-    known = [settings(node_id=i, gateways=count, may_message_peers=True) for i in range(count)]
-    parts = [Bucket("c", plan, 3, count, s, 0.0, IN_STEP) for s in known]
-    assert sum(b.max_spare for b in parts) <= 1000.0 * (plan.ceiling_burst - plan.burst) + 1e-6
-    assert sum(b.spare_rate for b in parts) <= plan.ceiling_rate - plan.rate + 1e-9
-    assert max(b.max_spare for b in parts) >= 2000.0
+    gateway_settings = [settings(node_id=i, gateways=count, may_message_peers=True) for i in range(count)]
+    buckets = [Bucket("c", plan, 3, count, s, 0.0, KNOWN_TIME) for s in gateway_settings]
+    assert sum(b.max_spare for b in buckets) <= 1000.0 * (plan.ceiling_burst - plan.burst) + 1e-6
+    assert sum(b.spare_rate for b in buckets) <= plan.ceiling_rate - plan.rate + 1e-9
+    assert max(b.max_spare for b in buckets) >= 2000.0
 
 
 @pytest.mark.parametrize("count", [3, 100, 370])
 def test_a_cold_backend_gets_no_more_from_many_gateways_than_from_few(count):
-    """One request a second at each gateway, nine warm backends and a cold one that answers at once."""
-    sends, total = 0, 0
-    for i in range(count):
+    """One request a second at each gateway, nine warm backends and a cold one with a low latency."""
+    cold_count, total = 0, 0
+    for node_id in range(count):
         backends = [io.Backend(f"w{k}", "z1") for k in range(9)]
         backends.append(io.Backend("cold", "z1", started_ms=99990.0))
-        p = GatewayHarness(backends, node_id=i, gateways=count)
-        p.gateway.rng.seed(i)
-        p.gateway.tracked["cold"].latency_ms = 1.0
+        harness = GatewayHarness(backends, node_id=node_id, gateways=count)
+        harness.gateway.rng.seed(node_id)
+        harness.gateway.tracked["cold"].latency_ms = 1.0
         for _ in range(4):
-            p.now += 1000.0
-            _, out = p.request()
-            p.answer_all(out)
-        made = of_type(p.actions, io.Send)
-        sends += sum(s.backend == "cold" for s in made)
-        total += len(made)
-    assert sends <= max(3, 2.0 * total / 10)
-
-
-def test_cold_backends_of_a_large_fleet_get_what_they_can_bear_from_all_gateways_together():
-    gateways, warm, cold, at = 40, 24, 36, 100000.0
-    entries = tuple(io.Backend(f"w{k}", zone="z1") for k in range(warm)) + tuple(
-        io.Backend(f"c{k}", zone="z1", started_ms=at) for k in range(cold)
+            harness.now += 1000.0
+            _, actions = harness.request()
+            harness.answer_all(actions)
+        sent = of_type(harness.actions, io.Send)
+        cold_count += sum(s.backend == "cold" for s in sent)
+        total += len(sent)
+    assert cold_count <= max(3, 2.0 * total / 10)
+
+
+def test_cold_backends_of_a_large_fleet_get_their_share_from_all_gateways_together():
+    gateways, warm_count, cold_count, start = 40, 24, 36, 100000.0
+    entries = tuple(io.Backend(f"w{k}", zone="z1") for k in range(warm_count)) + tuple(
+        io.Backend(f"c{k}", zone="z1", started_ms=start) for k in range(cold_count)
     )
     sent = dict.fromkeys((entry.id for entry in entries), 0)
-    for me in range(gateways):
-        p = GatewayHarness(entries, at, node_id=me, gateways=gateways)
+    for node_id in range(gateways):
+        harness = GatewayHarness(entries, start, node_id=node_id, gateways=gateways)
         for _ in range(30):
-            p.now += 30.0
-            (send,) = of_type(p.request()[1], io.Send)
+            harness.now += 30.0
+            (send,) = of_type(harness.request()[1], io.Send)
             sent[send.backend] += 1
-            p.end_attempt(send)
+            harness.end_attempt(send)
     mean = {
-        "w": sum(n for b, n in sent.items() if b[0] == "w") / warm,
-        "c": sum(n for b, n in sent.items() if b[0] == "c") / cold,
+        "w": sum(n for b, n in sent.items() if b[0] == "w") / warm_count,
+        "c": sum(n for b, n in sent.items() if b[0] == "c") / cold_count,
     }
-    share = settings().cold_from  # which has grown to a quarter by the end
+    share = settings().cold_from  # grows to a quarter by the end
     assert 0.4 * share < mean["c"] / mean["w"] < 2.0 * share
 
 
-def test_a_backend_that_never_ran_a_request_costs_no_further_attempts():
+def test_a_retry_after_an_attempt_that_was_not_executed_uses_no_retry_budget():
     names = [f"b{k}" for k in range(60)]
-    p = GatewayHarness(names, most_attempts=6, gateways=40)
-    for _ in range(30):  # far more than the budget of further attempts
-        name, out = p.request(kind="pay")
-        p.end_attempt(name, 0, io.Outcome.CONNECT_FAILED)
-        assert not final_answers(p.actions, name)
-        p.end_attempt(name, 1)
-        p.now += 100.0
-
-
-def test_limits_on_attempts_out_below_one_a_gateway_are_kept_as_a_pace():
-    p = GatewayHarness(gateways=300)
-    p.gateway.attempt_limit, p.gateway.mean_latency_ms = 0.1, 200.0  # an attempt each two seconds
+    harness = GatewayHarness(names, most_attempts=6, gateways=40)
+    for _ in range(30):  # far more than the retry budget
+        name, actions = harness.request(kind="pay")
+        harness.end_attempt(name, 0, io.Outcome.CONNECT_FAILED)
+        assert not final_answers(harness.actions, name)
+        harness.end_attempt(name, 1)
+        harness.now += 100.0
+
+
+def test_an_attempt_limit_below_one_is_enforced_as_a_rate():
+    harness = GatewayHarness(gateways=300)
+    harness.gateway.attempt_limit, harness.gateway.mean_latency_ms = 0.1, 200.0  # one attempt in two seconds
     sent = 0
     for _ in range(100):
-        p.now += 100.0
-        p.gateway.attempt_limit, p.gateway.mean_latency_ms, p.gateway.latency_share = 0.1, 200.0, 0.32
-        _, out = p.request()
-        sent += len(of_type(out, io.Send))
-        p.answer_all(out, elapsed_ms=480.0)
+        harness.now += 100.0
+        harness.gateway.attempt_limit, harness.gateway.mean_latency_ms, harness.gateway.latency_share = (
+            0.1,
+            200.0,
+            0.32,
+        )
+        _, actions = harness.request()
+        sent += len(of_type(actions, io.Send))
+        harness.answer_all(actions, elapsed_ms=480.0)
     assert 3 <= sent <= 3 + 10.0 / 2.0 + 1
 
 
-def test_the_work_of_a_choice_does_not_grow_with_the_fleet(monkeypatch):
-    p = GatewayHarness([f"b{k}" for k in range(400)])
-    looked = []
-    monkeypatch.setattr(TrackedBackend, "expected_ms", lambda x, now, mean: looked.append(1) or mean)
-    assert of_type(p.request()[1], io.Send)
-    assert len(looked) <= SAMPLE_SIZE
+def test_the_cost_of_choosing_a_backend_does_not_grow_with_the_list(monkeypatch):
+    harness = GatewayHarness([f"b{k}" for k in range(400)])
+    calls = []
+    monkeypatch.setattr(TrackedBackend, "expected_ms", lambda backend, now, mean: calls.append(1) or mean)
+    assert of_type(harness.request()[1], io.Send)
+    assert len(calls) <= SAMPLE_SIZE
 
 
-def test_after_an_own_pause_answers_are_taken_before_what_was_due():
-    p = GatewayHarness(("b1", "b2"))
-    name, out = p.request()
-    backend = of_type(out, io.Send)[0].backend
-    p.now += 2000.0  # the gateway stood still; first the alarm is found, then the answer
-    p.feed(io.TimerFired("wake"))
-    p.end_attempt(name, elapsed_ms=60.0)
-    p.advance(p.now + 20.0)
-    assert not p.gateway.tracked[backend].has_failed and len(of_type(p.actions, io.Send)) == 1
+def test_after_a_stall_answers_are_handled_before_overdue_timers():
+    harness = GatewayHarness(("b1", "b2"))
+    name, actions = harness.request()
+    backend = of_type(actions, io.Send)[0].backend
+    harness.now += 2000.0  # a stall: the timer fires first, then the answer arrives
+    harness.feed(io.TimerFired("wake"))
+    harness.end_attempt(name, elapsed_ms=60.0)
+    harness.advance(harness.now + 20.0)
+    assert not harness.gateway.tracked[backend].has_failed and len(of_type(harness.actions, io.Send)) == 1
 
 
-def test_a_final_answer_is_not_put_off_by_an_own_pause():
-    p = GatewayHarness(("b1",))
-    name, _ = p.request(kind="pay", timeout_ms=1000.0)
-    p.now += 1500.0
-    p.feed(io.TimerFired("wake"))
-    assert len(final_answers(p.actions, name)) == 1
+def test_a_final_answer_is_not_delayed_by_a_stall():
+    harness = GatewayHarness(("b1",))
+    name, _ = harness.request(kind="pay", timeout_ms=1000.0)
+    harness.now += 1500.0
+    harness.feed(io.TimerFired("wake"))
+    assert len(final_answers(harness.actions, name)) == 1
 
 
 def test_a_timer_that_fires_a_moment_early_is_set_again():
-    p = GatewayHarness(("b1",))
-    p.request(kind="pay", timeout_ms=1000.0)
-    due = min(p.timers)[0]
-    assert of_type(p.feed(io.TimerFired("wake"), due - 0.0004), io.SetTimer)
+    harness = GatewayHarness(("b1",))
+    harness.request(kind="pay", timeout_ms=1000.0)
+    due = min(harness.timers)[0]
+    assert of_type(harness.feed(io.TimerFired("wake"), due - 0.0004), io.SetTimer)
 
 
-def test_timers_do_not_multiply():
-    p = GatewayHarness(("b1",))
+def test_the_number_of_timers_per_request_is_bounded():
+    harness = GatewayHarness(("b1",))
     for _ in range(20):
-        p.request(kind="pay", timeout_ms=1000.0)
-    p.advance(p.now + 9000.0)
-    assert len(of_type(p.actions, io.SetTimer)) <= 20 * 6
+        harness.request(kind="pay", timeout_ms=1000.0)
+    harness.advance(harness.now + 9000.0)
+    assert len(of_type(harness.actions, io.SetTimer)) <= 20 * 6
