--- a/tests/test_many_backends.py
+++ b/tests/test_many_backends.py
@@ -1,4 +1,4 @@
-"""Sixteen times the backends behind the same gateways: what a gateway needs may grow only so far."""
+"""Sixteen times the backends behind the same gateways: limits on the growth of what a gateway needs."""
 
 from random import Random
 
@@ -8,47 +8,50 @@
 from cobaltline.gateway import Gateway
 
 GATEWAYS, REQUESTS_PER_S, SECONDS = 200, 61.0, 30.0
-TOOK_MS = 20.0  # of an answer
-KEPT_MS = 7500.0  # a connection that stood idle for longer is not used again
-TIMES, MORE = (
-    2.5,
-    40,
-)  # connections made to backends, at most: so many times those of the usual size, and more
+ANSWER_MS = 20.0  # time to answer an attempt
+KEEPALIVE_MS = 7500.0  # a connection idle for longer is not reused
+# Connections made: at most this factor times those made among 200 backends, and this number more
+MAX_GROWTH_FACTOR, MAX_EXTRA_COUNT = 2.5, 40
 
 
-class Connections:
-    """One gateway's: an attempt needs a new one where none to its backend is idle and still good."""
+class ConnectionSimulation:
+    """The connections of one gateway: an attempt reuses an idle one to its backend or makes a new one."""
 
     def __init__(self, backends):
         self.gateway = Gateway(settings(gateways=GATEWAYS, counter=False), seed=1)
-        self.made, self.sent, self.idle, self.out = 0, 0, {}, []
+        self.made_count, self.sent_count, self.idle_since, self.open_sends = 0, 0, {}, []
         entries = tuple(io.Backend(f"b{i}", zone="z1") for i in range(backends))
-        self.put(0.0, io.BackendsChanged(io.ListKind.CACHED, 1, entries))
+        self.deliver(0.0, io.BackendsChanged(io.ListKind.CACHED, 1, entries))
 
-    def put(self, now, event):
+    def deliver(self, now, event):
         for send in (a for a in self.gateway.handle(now, event) if isinstance(a, io.Send)):
-            free = [at for at in self.idle.get(send.backend, ()) if at > now - KEPT_MS]
-            self.made += not free
-            self.sent += 1
-            self.idle[send.backend] = free[:-1]
-            self.out.append((now + TOOK_MS, send))
-
-    def answered(self, until):
-        while self.out and self.out[0][0] <= until:
-            at, send = self.out.pop(0)
-            self.idle.setdefault(send.backend, []).append(at)
-            self.put(at, io.AttemptEnded(send.request, 0, send.backend, io.Outcome.OK, True, TOOK_MS))
-
-    def play(self):
+            usable_since = [at for at in self.idle_since.get(send.backend, ()) if at > now - KEEPALIVE_MS]
+            self.made_count += not usable_since
+            self.sent_count += 1
+            self.idle_since[send.backend] = usable_since[:-1]
+            self.open_sends.append((now + ANSWER_MS, send))
+
+    def end_attempts(self, until):
+        while self.open_sends and self.open_sends[0][0] <= until:
+            ended_at, send = self.open_sends.pop(0)
+            self.idle_since.setdefault(send.backend, []).append(ended_at)
+            self.deliver(
+                ended_at, io.AttemptEnded(send.request, 0, send.backend, io.Outcome.OK, True, ANSWER_MS)
+            )
+
+    def run(self):
         rng, now = Random(1), 1.0
-        for n in range(int(REQUESTS_PER_S * SECONDS)):
+        for number in range(int(REQUESTS_PER_S * SECONDS)):
             now += rng.expovariate(REQUESTS_PER_S / 1000.0)
-            self.answered(now)
-            self.put(now, io.RequestArrived(f"r{n}", f"c{n % 50}", "free", "read", now + 4000.0, spread=2))
+            self.end_attempts(now)
+            self.deliver(
+                now,
+                io.RequestArrived(f"r{number}", f"c{number % 50}", "free", "read", now + 4000.0, spread=2),
+            )
         return self
 
 
 def test_connections_made_grow_within_their_limit():
-    usual, large = Connections(200).play(), Connections(16 * 200).play()
-    assert min(usual.sent, large.sent) > 0.9 * REQUESTS_PER_S * SECONDS
-    assert large.made <= TIMES * usual.made + MORE
+    usual, large = ConnectionSimulation(200).run(), ConnectionSimulation(16 * 200).run()
+    assert min(usual.sent_count, large.sent_count) > 0.9 * REQUESTS_PER_S * SECONDS
+    assert large.made_count <= MAX_GROWTH_FACTOR * usual.made_count + MAX_EXTRA_COUNT
