--- a/cobaltline/gateway.py
+++ b/cobaltline/gateway.py
@@ -137,8 +137,9 @@
 class Gateway:
     """The decision module of one gateway process.
 
-    The host calls `handle` for every event, in order, and carries out the returned actions. The same
-    settings, seed and events give the same actions. Times are in ms of the host's clock.
+    The host calls `handle` for every event, in order, and carries out the returned actions. All random
+    choices follow from `seed`: the same settings, seed and events give the same actions. Times are in ms of
+    the host's clock.
     """
 
     def __init__(self, settings: io.Settings, seed: int):
@@ -154,16 +155,17 @@
         self.waiting_for_time: list[Bucket] = []  # their requests wait for the fleet's time
         self.buckets: dict[tuple[str, str], Bucket] = {}
         self.requests: dict[str, Request] = {}
-        self.in_flight: dict[tuple[str, int], tuple[Attempt, Request]] = {}
+        self.in_flight: dict[tuple[str, int], tuple[Attempt, Request]] = {}  # by request and attempt number
         self.pool = BackendPool()
         self.tracked: dict[str, TrackedBackend] = self.pool.by_id
         self.usable: list[TrackedBackend] = self.pool.usable
         self.first_list_had_backends = False  # set by the first list
         self.mean_capacity = 1.0  # of usable backends at present, relative to the heaviest
         self.mean_usable_count = 0.0  # running mean over requests
-        self.calls: dict[str, deque] = {}
+        self.calls: dict[str, deque] = {}  # counter calls without a result, by name
+        # heap of requests that wait for a free attempt, the highest priority first
         self.send_queue: list[tuple[float, int, Request]] = []
-        self.timers: list[tuple[float, int, object, object]] = []
+        self.timers: list[tuple[float, int, object, object]] = []  # heap: due, sequence, callback, argument
         self.wake_at, self.seq = float("inf"), 0
         self.min_target_ms = min((c.target_latency_ms for c in settings.classes.values()), default=1000.0)
         # initial estimates of the latency of all backends
@@ -172,7 +174,7 @@
             0.1 * self.min_target_ms,
             0.0,
         )
-        self.send_rate, self.send_rate_at = 0.0, 0.0
+        self.send_rate, self.send_rate_at = 0.0, 0.0  # first attempts per ms
         # attempts in flight; their limit; mean latency as a share of the target latency
         self.attempts_out, self.attempt_limit, self.latency_share, self.attempt_limit_at = (
             0,
@@ -180,9 +182,11 @@
             OVERLOAD_LATENCY_SHARE / 2,
             0.0,
         )
+        # attempts allowed while the limit is enforced as a rate; when that was computed; next paced send
         self.send_credit, self.send_credit_at, self.paced_send_at = PACING_LIMIT, 0.0, 0.0
         self.is_limit_reached, self.last_answer_at = False, 0.0
         self.retry_tokens = MAX_RETRY_TOKENS / 2
+        # gap between counter calls; when the next is allowed; share of borrows sent to the counter
         self.call_gap_ms, self.next_call_at, self.direct_share = 0.0, 0.0, 1.0
         # gap after the latest failure that followed a success
         self.failure_gap_ms, self.last_call_failed = 0.0, False
@@ -194,7 +198,7 @@
         self.overrun_share = INITIAL_OVERRUN_SHARE
         # by nonce: bucket, window, home gateway
         self.pending_peer_borrows: dict[int, tuple[Bucket, int, int]] = {}
-        # by gateway, of those that did not answer
+        # by gateway, after a missing answer
         self.peer_skipped_until: dict[int, float] = {}
         # wait for the answer of a home gateway
         self.peer_timeout_ms = 2.0 * settings.counter_timeout_ms + 10.0 * settings.tick_ms
@@ -295,7 +299,7 @@
             bucket.uncounted_tokens += request.cost
             bucket.uncounted_requests += 1
             self.on_granted(now, request)
-            # Count in time for the next request to be admitted without a wait.
+            # Count now, so that the next request need not wait.
             must_count = bucket.quick_streak or not self.may_count_later(bucket, request.cost)
             if must_count and not bucket.pending and bucket.knows_window(now):
                 self.borrow_from_counter(now, bucket)
@@ -513,7 +517,10 @@
     def send_peer_message(
         self, now: float, peer: int, kind: int, nonce: int, amount: int, wait_ms=0.0, text=""
     ) -> None:
-        """Send a message to another gateway; one of more than 256 bytes is dropped."""
+        """Send a borrow request or a grant to another gateway; one of more than 256 bytes is dropped.
+
+        `amount` is in milli-tokens. A grant of 0 is a refusal, and `wait_ms` the time until a retry.
+        """
         payload = MESSAGE_HEADER.pack(
             MESSAGE_VERSION, kind, nonce, min(amount, MAX_UINT32), int(wait_ms), self.message_clock(now)
         )
@@ -559,10 +566,10 @@
         return int(now + self.fleet_time.offset_ms) & MAX_UINT32
 
     def on_peer_timeout(self, now: float, nonce: int) -> None:
-        """Ask elsewhere after a home gateway did not answer; skip it after a second timeout."""
+        """Borrow elsewhere after a home gateway did not answer; skip it after a second timeout."""
         if nonce in self.pending_peer_borrows:
             bucket, _, home = self.pending_peer_borrows.pop(nonce)
-            # The first message may have been lost on the way.
+            # A single message may have been lost.
             self.peer_skipped_until[home] = now + PEER_SKIP_MS if home in self.peer_skipped_until else now
             bucket.pending = 0
             self.request_tokens(now, bucket)
@@ -735,7 +742,7 @@
                 self.settings.tick_ms, min(bucket.fill_ms, (wanted - bucket.level) / bucket.rate)
             )
             if bucket.home_rank and self.direct_share < 0.5:
-                # Serve several borrows of peers with one call.
+                # A longer wait lets one call serve several peers.
                 bucket.retry_at = max(bucket.retry_at, now + bucket.fill_ms * HOME_RETRY_SHARE)
             kept = 0
         bucket.add_lease(now, kept)
@@ -786,7 +793,7 @@
             )
         for entry in event.backends:
             backend = self.tracked.get(entry.id)
-            # A new process inherits nothing of what was learned of the one before.
+            # Nothing learned about the previous process applies to a new one.
             is_new_process = backend is None or entry.started_ms != backend.start_ms
             if backend is not None:
                 if backend.usable and (is_new_process or entry.state is not BackendState.UP):
@@ -824,7 +831,7 @@
 
         It at least doubles, up to a bound, and fades with time. So traffic leaves backends that are silent,
         gone, stalled or full, or that fail at once and would look idle and fast. If all backends fail, none
-        is avoided. `min_latency_ms` is the time already waited in vain.
+        is avoided. `min_latency_ms` is the time already spent waiting.
         """
         max_latency_ms = MAX_PENALTY_FACTOR * max(self.min_target_ms, self.mean_latency_ms)
         backend.has_failed = True
@@ -875,8 +882,8 @@
         """Choose the backend for the next attempt; None if there is none.
 
         The least loaded of the candidates by own open attempts, expected latency, weight and warm share.
-        Backends that the request tried before are left out. A keyed request stays in the scope of its key,
-        and ends with it.
+        Backends that the request tried before are left out. A keyed request stays in the scope of its key
+        and is not sent again after the key expires.
         """
         first_run, request_class = request.first_possible_run(), request.request_class
         if (
@@ -951,7 +958,7 @@
             now + queue_ms * QUEUE_WAIT_FACTOR
             >= request.target_at - self.mean_latency_ms - self.latency_dev_ms
         ):
-            # The wait would be in vain.
+            # Queued, it would miss its target.
             self.reject_or_fail(now, request)
         else:
             self.seq += 1
@@ -1071,7 +1078,7 @@
         if event.outcome in (Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.OVERLOADED):
             self.penalize(now, backend, 0.0)
         elif event.outcome in (Outcome.UNUSABLE_RESPONSE, Outcome.RESET):
-            # Single ones happen at healthy backends, as when a kept-alive connection is closed.
+            # A single one may come from a healthy backend, as when it closes a kept-alive connection.
             backend.unusable_responses += 1
             if backend.unusable_responses > MAX_UNUSABLE_RESPONSES:
                 self.penalize(now, backend, 0.0)
--- a/tests/test_congested_counter.py
+++ b/tests/test_congested_counter.py
@@ -184,7 +184,7 @@
     for i in range(50):
         harness.now += 100.0
         (call,) = of_type(harness.request(plan="basic", spread=40, customer=f"a{i}")[1], io.CounterAdd)
-        # the timeout is 50 ms
+        # The timeout is 50 ms.
         harness.feed(io.CounterResult(call.name, io.Outcome.OK, 1.0, 31.0 if i % 2 else 33.0))
         assert harness.gateway.call_gap_ms == 0.0
     (call,) = of_type(harness.request(plan="basic", spread=40, customer="late")[1], io.CounterAdd)
