--- a/tests/test_borrow.py
+++ b/tests/test_borrow.py
@@ -21,11 +21,11 @@
 
 def answer_all_counts(harness, actions, totals):
     """Answer all counter calls among these actions and the calls that follow; returns all actions."""
-    done = []
+    handled = []
     while calls := of_type(actions, io.CounterAdd):
-        done += actions
+        handled += actions
         actions = harness.answer_counts(calls, totals)
-    return done + actions
+    return handled + actions
 
 
 def test_a_new_customer_borrows_one_request_with_one_call():
@@ -238,11 +238,11 @@
 def test_a_counter_that_never_returns_a_total_is_not_called_endlessly():
     harness = GatewayHarness()
     name, actions = harness.request(plan="basic")
-    asked = 0
+    call_count = 0
     while calls := of_type(actions, io.CounterAdd):
-        asked += len(calls)
+        call_count += len(calls)
         actions = [a for c in calls for a in harness.feed(io.CounterResult(c.name, io.Outcome.OK, None, 2.0))]
-        assert asked < 10
+        assert call_count < 10
     assert of_type(actions, io.Send) or of_type(actions, io.Reject) or of_type(actions, io.SendPeerMessage)
 
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -255,9 +255,8 @@
             if fleet.warm_left_at <= at < fleet.warm_left_at + fleet.settings.fall_ms
         )
         assert fleet.max_specified_use <= 1.0
-    assert arrived <= budget + 2.0 * math.sqrt(
-        budget
-    )  # of all cold backends together, which leaves less to chance
+    # of all cold backends together, which leaves less to chance
+    assert arrived <= budget + 2.0 * math.sqrt(budget)
 
 
 def test_cold_backends_that_replace_most_others_get_a_share_equal_to_their_capacity():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -312,7 +312,7 @@
     harness = GatewayHarness(must_poll=True, poll_interval_ms=poll_interval_ms)
     for _ in range(5):
         harness.feed(io.BackendsChanged(io.ListKind.FAILED, 0, ()))
-        failed = harness.now
+        failed_at = harness.now
         while not of_type(harness.advance(harness.now + 100.0), io.Subscribe):
-            assert harness.now - failed < 3000.0
-        assert harness.now - failed >= 900.0
+            assert harness.now - failed_at < 3000.0
+        assert harness.now - failed_at >= 900.0
