--- a/scale/__init__.py
+++ b/scale/__init__.py
@@ -1,1 +1,1 @@
-"""The scale rig: measures the gateway at sizes that no bench day has. The gateway does not import it."""
+"""The scale test rig: measures the gateway with large fleets. The gateway itself does not import it."""
--- a/scale/clock.py
+++ b/scale/clock.py
@@ -1,4 +1,4 @@
-"""One virtual clock, and the queue of what is to happen on it."""
+"""A virtual clock with its queue of scheduled calls."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 
 
 class Clock:
-    """Times are milliseconds. What is set for the same time happens in the order it was set."""
+    """Virtual time in milliseconds. Calls scheduled for the same time run in the order they were
+    scheduled."""
 
     __slots__ = ("now", "_queue", "_order")
 
@@ -16,17 +17,18 @@
         self._queue: list[tuple[float, int, Callable, tuple]] = []
         self._order = 0
 
-    def call_at(self, when_ms: float, call: Callable, *args) -> None:
-        """Call it at that time; a time that has passed means next."""
+    def call_at(self, when_ms: float, callback: Callable, *args) -> None:
+        """Schedules a call. If the time has passed, the call runs as soon as the clock advances."""
         self._order += 1
-        heapq.heappush(self._queue, (when_ms, self._order, call, args))
+        heapq.heappush(self._queue, (when_ms, self._order, callback, args))
 
     def run_until(self, until_ms: float) -> None:
-        """Let everything up to then happen, with what that sets in turn."""
+        """Runs every call due up to `until_ms`, also those scheduled meanwhile, and sets the clock to that
+        time."""
         queue = self._queue
         while queue and queue[0][0] <= until_ms:
-            when, _, call, args = heapq.heappop(queue)
+            when, _, callback, args = heapq.heappop(queue)
             if when > self.now:
                 self.now = when
-            call(*args)
+            callback(*args)
         self.now = max(self.now, until_ms)
--- a/scale/figure.py
+++ b/scale/figure.py
@@ -1,4 +1,4 @@
-"""A measured figure at several sizes, and how it grows with them."""
+"""A figure measured at several sizes, and the power law fitted to it."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 class Figure:
     """One figure at several sizes.
 
-    `points` pairs a size (in units of `size_of`, for instance "backends") with the value measured there (in
-    `unit`). `command` prints the figure anew; `about` says in one sentence what is measured and how.
+    `points` pairs a size (in units of `size_of`, for instance "backends") with the value measured at that
+    size (in `unit`). `command` reproduces the figure; `about` describes what is measured and how.
     """
 
     name: str
@@ -24,21 +24,21 @@
     seeds: tuple[int, ...] = field(default=())
 
     def fit_power_law(self) -> tuple[float, float] | None:
-        """The power of the size that the value grows with, and the residual of that fit.
+        """Returns the exponent of the fitted power law and the residual of the fit.
 
-        A least-squares line through the logarithms: 0 is flat, 1 grows as the size does. The residual is the
-        root mean square of what is left, in natural logarithms (0.1 is about a tenth). None with fewer than
-        two sizes, or where a value is not above 0.
+        Fits a least-squares line to the logarithms: exponent 0 is constant, 1 is proportional to the size.
+        The residual is the root mean square error in natural logarithms (0.1 is about 10%). Returns None for
+        fewer than two different sizes, or if a size or value is not positive.
         """
         sizes, values = np.array(self.points, dtype=float).reshape(-1, 2).T
         if len(set(sizes)) < 2 or (sizes <= 0).any() or (values <= 0).any():
             return None
-        power, constant = np.polyfit(np.log(sizes), np.log(values), 1)
-        left = np.log(values) - (power * np.log(sizes) + constant)
-        return float(power), float(np.sqrt(np.mean(left**2)))
+        exponent, intercept = np.polyfit(np.log(sizes), np.log(values), 1)
+        errors = np.log(values) - (exponent * np.log(sizes) + intercept)
+        return float(exponent), float(np.sqrt(np.mean(errors**2)))
 
     def to_dict(self) -> dict:
-        """As JSON has it: the fields, and `slope` and `residual` (null where nothing can be fitted)."""
-        fitted = self.fit_power_law()
-        power, residual = fitted if fitted is not None else (None, None)
-        return {**asdict(self), "slope": power, "residual": residual}
+        """Returns the fields for JSON with `slope` and `residual`, which are None if no fit is possible."""
+        fit = self.fit_power_law()
+        exponent, residual = fit if fit is not None else (None, None)
+        return {**asdict(self), "slope": exponent, "residual": residual}
--- a/scale/oracle.py
+++ b/scale/oracle.py
@@ -1,66 +1,76 @@
-"""What the quotas truly hold: each customer's store over the whole fleet, kept by who sees everything."""
+"""The exact quota of each customer over the whole fleet, computed from a global view of all requests."""
 
 from __future__ import annotations
 
 from cobaltline import interface as io
 
-EXACT = 1e-9  # units; under this, a store holds what is asked
+ROUNDING_UNITS = 1e-9  # tolerance for rounding errors when units are compared
 
 
-class Store:
-    """A token bucket: fills at `rate` units a second, holds `burst` units at most, starts full."""
+class TokenBucket:
+    """A token bucket that starts full, fills at `rate` units per second and holds at most `burst` units."""
 
-    __slots__ = ("rate", "burst", "level", "at")
+    __slots__ = ("rate", "burst", "level", "updated_ms")
 
-    def __init__(self, rate: float, burst: float, now: float):
-        self.rate, self.burst, self.level, self.at = rate, burst, burst, now
+    def __init__(self, rate: float, burst: float, now_ms: float):
+        self.rate, self.burst, self.level, self.updated_ms = rate, burst, burst, now_ms
 
-    def fill(self, now: float) -> float:
-        """Its level now, in units."""
-        self.level = min(self.burst, self.level + self.rate * (now - self.at) / 1000.0)
-        self.at = now
+    def fill(self, now_ms: float) -> float:
+        """Adds the units accrued since the last call and returns the level in units."""
+        self.level = min(self.burst, self.level + self.rate * (now_ms - self.updated_ms) / 1000.0)
+        self.updated_ms = now_ms
         return self.level
 
-    def take(self, now: float, units: float) -> bool:
-        """Whether it holds the units, which it then gives."""
-        if self.fill(now) < units - EXACT:
+    def take(self, now_ms: float, units: float) -> bool:
+        """Takes the units if the bucket holds them; returns whether it did."""
+        if self.fill(now_ms) < units - ROUNDING_UNITS:
             return False
         self.level -= units
         return True
 
 
 class Account:
-    """One customer: what was truly sent on, and what a single gateway would have let in."""
+    """The exact quota, ceiling and concurrency of one customer.
+
+    Two buckets have the quota's rate: one counts tries that were sent to a backend, the other all first
+    tries, as a single gateway would that sees every request of the customer.
+    """
 
     __slots__ = ("plan", "_quota", "_asked", "_ceiling", "in_flight")
 
-    def __init__(self, plan: io.Plan, now: float):
+    def __init__(self, plan: io.Plan, now_ms: float):
         self.plan = plan
-        self._quota = Store(plan.rate, plan.burst, now)
-        self._asked = Store(plan.rate, plan.burst, now)
-        self._ceiling = Store(plan.ceiling_rate, plan.ceiling_burst, now) if plan.ceiling_rate else None
-        self.in_flight = 0  # attempts out
-
-    def admits_first_try(self, now: float, units: float) -> bool:
-        """A first try has come; whether one gateway that saw all of these would let it in."""
-        return self._asked.take(now, units)
-
-    def take_quota(self, now: float, units: float) -> bool:
-        """A try is sent on for the first time; whether it is inside the quota, whose units it then takes."""
+        self._quota = TokenBucket(plan.rate, plan.burst, now_ms)
+        self._asked = TokenBucket(plan.rate, plan.burst, now_ms)
+        self._ceiling = (
+            TokenBucket(plan.ceiling_rate, plan.ceiling_burst, now_ms) if plan.ceiling_rate else None
+        )
+        self.in_flight = 0  # attempts that have not ended
+
+    def admits_first_try(self, now_ms: float, units: float) -> bool:
+        """Records a first try; returns whether a single gateway that sees every request would admit it."""
+        return self._asked.take(now_ms, units)
+
+    def take_quota(self, now_ms: float, units: float) -> bool:
+        """Records the first attempt of a try; returns whether it is within the quota and, if so, takes its
+        units."""
         if self.plan.max_concurrency and self.in_flight >= self.plan.max_concurrency:
             return False
-        return self._quota.take(now, units)
+        return self._quota.take(now_ms, units)
 
-    def exceeds_ceiling(self, now: float, units: float) -> bool:
-        """The same try, against the ceiling: it draws whether there is room or not."""
+    def exceeds_ceiling(self, now_ms: float, units: float) -> bool:
+        """Draws the units of a try from the ceiling, also below zero; returns whether the tolerance is
+        exceeded."""
         if self._ceiling is None:
             return False
-        self._ceiling.level = self._ceiling.fill(now) - units
-        return self._ceiling.level < -self.plan.ceiling_tolerance - EXACT
+        self._ceiling.level = self._ceiling.fill(now_ms) - units
+        return self._ceiling.level < -self.plan.ceiling_tolerance - ROUNDING_UNITS
 
-    def headroom(self, now: float, units: float) -> tuple[bool, bool]:
-        """A try is refused: whether it was inside each quota, and half of each was unused besides."""
+    def headroom(self, now_ms: float, units: float) -> tuple[bool, bool]:
+        """Returns whether a try fits into every quota, and whether half of each quota is unused besides."""
         limit = self.plan.max_concurrency
-        left = self._quota.fill(now) - units
-        fits = left >= -EXACT and (not limit or self.in_flight < limit)
-        return fits, fits and left >= self.plan.burst / 2.0 and (not limit or self.in_flight <= limit / 2.0)
+        units_left = self._quota.fill(now_ms) - units
+        has_room = units_left >= -ROUNDING_UNITS and (not limit or self.in_flight < limit)
+        return has_room, has_room and units_left >= self.plan.burst / 2.0 and (
+            not limit or self.in_flight <= limit / 2.0
+        )
--- a/scale/report.py
+++ b/scale/report.py
@@ -1,4 +1,4 @@
-"""Tables for the terminal."""
+"""Text tables of figures for the terminal."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def number(value: object) -> str:
-    """As short as four significant digits allow."""
+    """Formats a value with four significant digits; dicts as `key value` pairs."""
     if isinstance(value, dict):
         return ", ".join(f"{key} {number(part)}" for key, part in value.items()) or "none"
     if isinstance(value, float):
@@ -16,10 +16,10 @@
     return f"{value:,}" if isinstance(value, int) else str(value)
 
 
-def format_table(head: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
-    """Columns as wide as they need to be; all but the first to the right."""
-    lines = [list(head), *([number(cell) for cell in row] for row in rows)]
-    wide = [max(len(line[column]) for line in lines) for column in range(len(head))]
+def format_table(header: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
+    """Formats an aligned table; the first column is left-aligned, the others are right-aligned."""
+    lines = [list(header), *([number(cell) for cell in row] for row in rows)]
+    wide = [max(len(line[column]) for line in lines) for column in range(len(header))]
     out = []
     for first, *others in lines:
         cells = [cell.rjust(size) for cell, size in zip(others, wide[1:], strict=True)]
@@ -28,12 +28,13 @@
 
 
 def format_pairs(found: dict[str, object]) -> str:
+    """Formats a dict as one aligned line per key."""
     wide = max(map(len, found))
     return "\n".join(f"{key.ljust(wide)}  {number(value)}" for key, value in found.items())
 
 
 def format_slopes(figures: Iterable[Figure]) -> str:
-    """Each figure at its sizes, with the power that it grows with and the residual of that fit."""
+    """Formats a table of figures with their values at each size, slope and residual."""
     rows, values = [], ["values"]
     for figure in figures:
         power, residual = figure.fit_power_law() or ("-", "-")
