--- a/scale/client.py
+++ b/scale/client.py
@@ -1,4 +1,4 @@
-"""Clients of a real gateway: on a fixed schedule, or as fast as answers come."""
+"""Clients of a real gateway: an open loop on a fixed schedule, or a closed loop."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-LENGTH = re.compile(rb"content-length: *(\d+)", re.IGNORECASE)
-DEADLINE_S = 4.0  # that requests state
-NUMBERS = itertools.count(1)
+CONTENT_LENGTH = re.compile(rb"content-length: *(\d+)", re.IGNORECASE)
+REQUEST_TIMEOUT_S = 4.0  # sent in X-Timeout
+REQUEST_NUMBERS = itertools.count(1)
 
 
 def build_request(
@@ -25,13 +25,17 @@
     name: str = "",
     spread: int = 2,
     first: int = 0,
-    deadline_s: float = DEADLINE_S,
+    deadline_s: float = REQUEST_TIMEOUT_S,
 ) -> bytes:
-    """One of a unit and with no body. `name`: its id of 16 hex digits, a new one where none is given."""
+    """Returns the bytes of an HTTP request of one unit without a body.
+
+    `name` is the request id of 16 hex digits; a new one is generated if it is empty. `spread` and `first`
+    give the size and the first gateway of the customer's set.
+    """
     method, length = ("GET", "") if safe else ("POST", "Content-Length: 0\r\n")
     return (
         f"{method} /api/{customer:016x} HTTP/1.1\r\nHost: api.internal\r\n"
-        f"X-Request-ID: {name or f'{next(NUMBERS):016x}'}\r\n"
+        f"X-Request-ID: {name or f'{next(REQUEST_NUMBERS):016x}'}\r\n"
         f"X-Priority-Class: {kind}\r\nPlan: {plan}\r\nX-Timeout: {deadline_s}\r\n{length}"
         f"Quota-Info: units=1,spread={spread},first={first}\r\n\r\n"
     ).encode()
@@ -39,38 +43,44 @@
 
 @dataclass
 class Answers:
-    """What came of a run of requests: `latencies_ms` each, from when it was due to its last byte; status 0
-    is a connection that ended. `send_delays_ms`: how late each was sent, which is the rig's own doing."""
+    """The outcome of a run of requests.
+
+    `latencies_ms` are measured from when a request was due to the last byte of its response. `send_delays_ms`
+    is how late the client itself sent each request. `statuses` counts responses by status; 0 is a connection
+    that ended without a response.
+    """
 
     latencies_ms: list[float] = field(default_factory=list)
     send_delays_ms: list[float] = field(default_factory=list)
     statuses: Counter[int] = field(default_factory=Counter)
 
     def describe_unserved(self) -> str:
-        """How many were not, by status, as a sentence's part; empty where all were served."""
-        others = [f"{n} by {status}" for status, n in sorted(self.statuses.items()) if status != 200]
+        """Returns a phrase with the number of unserved requests by status; empty if all were served."""
+        others = [f"{count} by {status}" for status, count in sorted(self.statuses.items()) if status != 200]
         return f"of {self.statuses.total()} requests not served: {', '.join(others)}" if others else ""
 
 
-Done = Callable[[int, bytes], None]  # is told an answer's status and body; 0 if the connection ended without
+# Called with the status and body of a response; status 0 if the connection ended without one.
+ResponseCallback = Callable[[int, bytes], None]
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection that carries one request at a time."""
+    """A kept-alive connection of a `ConnectionPool` that carries one request at a time."""
 
-    def __init__(self, owner: ConnectionPool, text: bytes, done: Done):
-        self._owner, self._text, self._done, self._data = owner, text, done, b""
-        self.busy, self._kept = True, False
+    def __init__(self, owner: ConnectionPool, request: bytes, on_response: ResponseCallback):
+        self._owner, self._request, self._on_response, self._data = owner, request, on_response, b""
+        self.busy, self._reused = True, False
 
     def connection_made(self, transport) -> None:
         self.transport = transport
-        self._owner.callers.add(self)
-        transport.write(self._text)
+        self._owner.connections.add(self)
+        transport.write(self._request)
 
-    def send_request(self, text: bytes, done: Done) -> None:
-        self._text, self._done, self._data = text, done, b""
-        self.busy, self._kept = True, True
-        self.transport.write(text)
+    def send_request(self, request: bytes, on_response: ResponseCallback) -> None:
+        """Sends a further request on the connection, which must be idle."""
+        self._request, self._on_response, self._data = request, on_response, b""
+        self.busy, self._reused = True, True
+        self.transport.write(request)
 
     def data_received(self, data: bytes) -> None:
         if not self.busy:
@@ -78,154 +88,160 @@
             return
         self._data += data
         head, end, body = self._data.partition(b"\r\n\r\n")
-        found = LENGTH.search(head)
-        length = int(found[1] if found else 0)
+        match = CONTENT_LENGTH.search(head)
+        length = int(match[1] if match else 0)
         if end and len(body) >= length:
             self._owner.unexpected_responses += len(body) > length
             self.busy = False
             self._owner.idle.append(self)
-            self._done(int(head[9:12]), body[:length])
+            self._on_response(int(head[9:12]), body[:length])
 
     def connection_lost(self, error: Exception | None) -> None:
-        self._owner.callers.discard(self)
+        self._owner.connections.discard(self)
         if self.busy:
             self.busy = False
-            if self._kept and not self._data:  # closed as idle, perhaps, before the request was read
-                self._owner.open(self._text, self._done)
+            # The gateway may have closed the connection as idle before it read the request: send it again.
+            if self._reused and not self._data:
+                self._owner.open(self._request, self._on_response)
             else:
-                self._done(0, b"")
+                self._on_response(0, b"")
 
 
 class ConnectionPool:
-    """A client's connections to one gateway: kept, and more opened once all are busy."""
+    """The kept-alive connections of a client to one gateway; a new one is opened when all are busy."""
 
     def __init__(self, where: tuple[str, int]):
         self._where = where
-        self.callers: set[ClientConnection] = set()
+        self.connections: set[ClientConnection] = set()
         self.idle: list[ClientConnection] = []
-        self._opening: set[asyncio.Task] = set()
-        self.unexpected_responses = 0  # times that something came to which no request was out
+        self._connect_tasks: set[asyncio.Task] = set()
+        self.unexpected_responses = 0  # data received without a pending request
 
-    def send_request(self, text: bytes, done: Done) -> None:
+    def send_request(self, request: bytes, on_response: ResponseCallback) -> None:
+        """Sends a request on an idle connection, or on a new one if there is none."""
         while self.idle:
-            caller = self.idle.pop()
-            if not caller.transport.is_closing():
-                caller.send_request(text, done)
+            connection = self.idle.pop()
+            if not connection.transport.is_closing():
+                connection.send_request(request, on_response)
                 return
-        self.open(text, done)
+        self.open(request, on_response)
 
-    def open(self, text: bytes, done: Done) -> None:
-        """Ask on a connection of its own."""
-        task = asyncio.get_running_loop().create_task(self._open(text, done))
-        self._opening.add(task)
-        task.add_done_callback(self._opening.discard)
+    def open(self, request: bytes, on_response: ResponseCallback) -> None:
+        """Sends a request on a new connection."""
+        task = asyncio.get_running_loop().create_task(self._open(request, on_response))
+        self._connect_tasks.add(task)
+        task.add_done_callback(self._connect_tasks.discard)
 
-    async def _open(self, text: bytes, done: Done) -> None:
+    async def _open(self, request: bytes, on_response: ResponseCallback) -> None:
         try:
             await asyncio.get_running_loop().create_connection(
-                lambda: ClientConnection(self, text, done), *self._where
+                lambda: ClientConnection(self, request, on_response), *self._where
             )
         except OSError:
-            done(0, b"")
+            on_response(0, b"")
 
     def close(self) -> None:
-        """No request is told of it."""
-        for task in self._opening:
+        """Aborts all connections without calling the callbacks of pending requests."""
+        for task in self._connect_tasks:
             task.cancel()
-        for caller in list(self.callers):
-            caller.busy = False
-            caller.transport.abort()
+        for connection in list(self.connections):
+            connection.busy = False
+            connection.transport.abort()
 
 
 class Client:
-    """Requests to one gateway and what came of them."""
+    """Sends runs of requests to one gateway and collects the responses."""
 
     def __init__(self, where: tuple[str, int]):
-        self._connections, self._out = ConnectionPool(where), 0
+        self._pool, self._pending_count = ConnectionPool(where), 0
         self._loop = asyncio.get_running_loop()
         self._answers = Answers()
         self._on_answer: Callable[[], None] = lambda: None
 
-    def _send(self, due: float, text: bytes) -> None:
-        self._out += 1
-        self._connections.send_request(text, lambda status, _: self._answered(due, status))
+    def _send(self, due_s: float, request: bytes) -> None:
+        self._pending_count += 1
+        self._pool.send_request(request, lambda status, _: self._record_response(due_s, status))
 
-    def _answered(self, due: float, status: int) -> None:
-        self._out -= 1
-        self._answers.latencies_ms.append((time.monotonic() - due) * 1000.0)
+    def _record_response(self, due_s: float, status: int) -> None:
+        self._pending_count -= 1
+        self._answers.latencies_ms.append((time.monotonic() - due_s) * 1000.0)
         self._answers.statuses[status] += 1
         self._on_answer()
 
     async def run_open_loop(
         self, rate: float, seconds: float, plan: str = "free", start_delay_s: float = 0.0
     ) -> Answers:
-        """Open loop: a request each 1/rate s, whether others were answered or not, timed from when it is due;
-        the first `start_delay_s` late.
+        """Sends `rate` requests per second for `seconds`, regardless of the responses; one customer each.
 
-        A thread keeps the schedule, as the loop's own timers count whole milliseconds.
+        The schedule starts after `start_delay_s`. A thread keeps it, as the event loop's timers have a
+        resolution of one millisecond.
         """
         answers = self._answers = Answers()
         count = max(1, int(rate * seconds))
-        here, there = socket.socketpair()
-        here.setblocking(False)
-        start = time.monotonic() + 0.01 + start_delay_s
+        read_socket, write_socket = socket.socketpair()
+        read_socket.setblocking(False)
+        start_s = time.monotonic() + 0.01 + start_delay_s
 
-        def pace() -> None:
-            for n in range(count):
-                time.sleep(max(0.0, start + n / rate - time.monotonic()))
-                there.send(b".")
+        def write_ticks() -> None:
+            for index in range(count):
+                time.sleep(max(0.0, start_s + index / rate - time.monotonic()))
+                write_socket.send(b".")
 
         numbers = iter(range(count))
         all_sent = asyncio.Event()
 
-        def due() -> None:
-            for _ in here.recv(4096):
-                n = next(numbers)
-                at = start + n / rate
-                answers.send_delays_ms.append((time.monotonic() - at) * 1000.0)
-                self._send(at, build_request(n, plan))
-                if n == count - 1:
+        def on_tick() -> None:
+            for _ in read_socket.recv(4096):
+                index = next(numbers)
+                due_s = start_s + index / rate
+                answers.send_delays_ms.append((time.monotonic() - due_s) * 1000.0)
+                self._send(due_s, build_request(index, plan))
+                if index == count - 1:
                     all_sent.set()
 
-        self._loop.add_reader(here, due)
-        thread = threading.Thread(target=pace, daemon=True)
+        self._loop.add_reader(read_socket, on_tick)
+        thread = threading.Thread(target=write_ticks, daemon=True)
         thread.start()
         try:
             await all_sent.wait()
-            limit = time.monotonic() + 2 * DEADLINE_S
-            while self._out and time.monotonic() < limit:
+            limit_s = time.monotonic() + 2 * REQUEST_TIMEOUT_S
+            while self._pending_count and time.monotonic() < limit_s:
                 await asyncio.sleep(0.005)
         finally:
-            self._loop.remove_reader(here)
-            here.close()
-            there.close()
-        if self._out:
-            answers.statuses[0] += self._out  # never answered
+            self._loop.remove_reader(read_socket)
+            read_socket.close()
+            write_socket.close()
+        if self._pending_count:
+            answers.statuses[0] += self._pending_count  # requests without a response within the limit
         return answers
 
     async def run_closed_loop(
         self, first: int, count: int, plan: str, at_once: int, within_s: float
     ) -> Answers:
-        """Closed loop: one request for each of `count` customers from number `first`, `at_once` at a time."""
+        """Sends one request for each of `count` customers from number `first`, `at_once` concurrently.
+
+        No further requests are sent after `within_s` seconds.
+        """
         answers = self._answers = Answers()
         customers = iter(range(first, first + count))
-        over = asyncio.Event()
-        limit = time.monotonic() + within_s
+        all_done = asyncio.Event()
+        limit_s = time.monotonic() + within_s
 
-        def more() -> None:
-            now = time.monotonic()
-            customer = next(customers, None) if now < limit else None
+        def send_next() -> None:
+            now_s = time.monotonic()
+            customer = next(customers, None) if now_s < limit_s else None
             if customer is not None:
-                self._send(now, build_request(customer, plan))
-            elif not self._out:
-                over.set()
+                self._send(now_s, build_request(customer, plan))
+            elif not self._pending_count:
+                all_done.set()
 
-        self._on_answer = more
+        self._on_answer = send_next
         for _ in range(min(at_once, count)):
-            more()
-        await over.wait()
+            send_next()
+        await all_done.wait()
         self._on_answer = lambda: None
         return answers
 
     def close(self) -> None:
-        self._connections.close()
+        """Closes all connections."""
+        self._pool.close()
--- a/scale/faults.py
+++ b/scale/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a world, and what each of it does to the fleet."""
+"""Faults that can be injected into a simulated fleet (`scale.world.World`)."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 from .backends import Health
 
-RACK = 0.025  # of the gateways and backends: one rack in forty
-RESTARTED = 0.1  # of the gateways
-DOWN_MS = 2000.0  # from a gateway's end to its next life
-REPLACED = 0.6  # of the backends, evenly over the fault's time
-PARTING_MS = 4000.0  # a backend that drains lives so long
-WORST_MINUTE = 1.0 / 60.0  # of a day's changes come in its worst minute
-CHANGES_A_DAY = 5900
-COUNTER_SLOW = 20.0  # times as long as usual for each call
-COLD_BOOT_MS = 1000.0  # between two thirds of what comes back: not all starts in one moment
+RACK_SHARE = 0.025  # of the gateways and of the backends
+RESTARTED_GATEWAYS_SHARE = 0.1
+GATEWAY_DOWNTIME_MS = 2000.0  # between the end of a gateway's process and its next start
+REPLACED_BACKENDS_SHARE = 0.6
+DRAIN_MS = 4000.0  # time from the start of draining until a backend ends
+WORST_MINUTE_SHARE = 1.0 / 60.0  # share of a day's changes that fall into its worst minute
+CHANGES_PER_DAY = 5900
+COUNTER_SLOWDOWN = 20.0  # factor on the duration of calls
+RESTART_INTERVAL_MS = 1000.0  # backends restart in three groups, this far apart
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """`inject` sets it off in a world (`scale.world.World`), for so many ms."""
+    """A kind of fault. `inject(world, duration_ms)` starts it in a world and schedules its end."""
 
     about: str
     inject: Callable
@@ -35,48 +35,53 @@
         world.kill_gateway(number)
 
 
-def _return(world, backends: list, gateways: list[int]) -> None:
-    """What was lost is back: backends cold, in thirds, and gateways that know nothing."""
+def _restart(world, backends: list, gateways: list[int]) -> None:
+    """Restarts the backends, cold and in three groups, and the gateways without their state."""
     for third in range(3):
-        world.clock.call_at(world.clock.now + third * COLD_BOOT_MS, _start, world, backends[third::3])
+        world.clock.call_at(
+            world.clock.now + third * RESTART_INTERVAL_MS, _start_backends, world, backends[third::3]
+        )
     for number in gateways:
         world.restart_gateway(number)
 
 
-def _start(world, backends: list) -> None:
+def _start_backends(world, backends: list) -> None:
     for backend in backends:
         backend.start()
     if backends:
         world.discovery.apply_changes([world.backend_entry(backend) for backend in backends])
 
 
-def _away(world, for_ms: float, backends: list, gateways: list[int]) -> None:
+def _silence_for(world, duration_ms: float, backends: list, gateways: list[int]) -> None:
     _silence(world, backends, gateways)
-    world.clock.call_at(world.clock.now + for_ms, _return, world, backends, gateways)
+    world.clock.call_at(world.clock.now + duration_ms, _restart, world, backends, gateways)
 
 
-def zone(world, for_ms: float) -> None:
-    lost = world.links.zones[-1]
-    backends = [backend for backend in world.backends.values() if backend.zone == lost]
-    gateways = [gateway.number for gateway in world.gateways if gateway.zone == lost]
-    _away(world, for_ms, backends, gateways)
+def lose_zone(world, duration_ms: float) -> None:
+    """Silences the last zone; its backends and gateways restart when the fault ends."""
+    lost_zone = world.links.zones[-1]
+    backends = [backend for backend in world.backends.values() if backend.zone == lost_zone]
+    gateways = [gateway.number for gateway in world.gateways if gateway.zone == lost_zone]
+    _silence_for(world, duration_ms, backends, gateways)
 
 
-def rack(world, for_ms: float) -> None:
-    lost = world.links.zones[-1]
-    backends = [backend for backend in world.backends.values() if backend.zone == lost]
-    gateways = [gateway.number for gateway in world.gateways if gateway.zone == lost]
-    _away(
+def lose_rack(world, duration_ms: float) -> None:
+    """Silences one rack of the last zone; its backends and gateways restart when the fault ends."""
+    lost_zone = world.links.zones[-1]
+    backends = [backend for backend in world.backends.values() if backend.zone == lost_zone]
+    gateways = [gateway.number for gateway in world.gateways if gateway.zone == lost_zone]
+    _silence_for(
         world,
-        for_ms,
-        backends[: max(1, round(RACK * len(world.backends)))],
-        gateways[: max(1, round(RACK * len(world.gateways)))],
+        duration_ms,
+        backends[: max(1, round(RACK_SHARE * len(world.backends)))],
+        gateways[: max(1, round(RACK_SHARE * len(world.gateways)))],
     )
 
 
-def region(world, for_ms: float) -> None:
+def partition_region(world, duration_ms: float) -> None:
+    """Cuts the last region off from the others."""
     world.links.partition(world.links.zones_in_region(world.options.regions - 1))
-    world.clock.call_at(world.clock.now + for_ms, _heal, world)
+    world.clock.call_at(world.clock.now + duration_ms, _heal, world)
 
 
 def _heal(world) -> None:
@@ -84,68 +89,83 @@
     world.discovery.resync()
 
 
-def restart(world, for_ms: float) -> None:
-    count = max(1, round(RESTARTED * len(world.gateways)))
+def restart_gateways(world, duration_ms: float) -> None:
+    """Kills some gateways at once; they restart after GATEWAY_DOWNTIME_MS. The duration has no effect."""
+    count = max(1, round(RESTARTED_GATEWAYS_SHARE * len(world.gateways)))
     for number in world.rng.sample(range(len(world.gateways)), count):
         world.kill_gateway(number)
-        world.clock.call_at(world.clock.now + DOWN_MS, world.restart_gateway, number)
+        world.clock.call_at(world.clock.now + GATEWAY_DOWNTIME_MS, world.restart_gateway, number)
 
 
-def replace_backends(world, for_ms: float) -> None:
-    old = world.rng.sample(list(world.backends.values()), round(REPLACED * len(world.backends)))
+def replace_backends(world, duration_ms: float) -> None:
+    """Replaces most of the backends by cold ones, evenly over the duration."""
+    old = world.rng.sample(
+        list(world.backends.values()), round(REPLACED_BACKENDS_SHARE * len(world.backends))
+    )
     for number, backend in enumerate(old):
-        world.clock.call_at(world.clock.now + for_ms * number / len(old), _replace, world, backend)
+        world.clock.call_at(
+            world.clock.now + duration_ms * number / len(old), _replace_backend, world, backend
+        )
 
 
-def _replace(world, old) -> None:
+def _replace_backend(world, old) -> None:
     new = world.add_backend(len(world.backends), old.zone)
     new.start()
     world.discovery.apply_changes(
         [world.backend_entry(new), world.backend_entry(old, io.BackendState.DRAINING)]
     )
-    world.clock.call_at(world.clock.now + PARTING_MS, _part, world, old)
+    world.clock.call_at(world.clock.now + DRAIN_MS, _remove_backend, world, old)
 
 
-def _part(world, backend) -> None:
+def _remove_backend(world, backend) -> None:
     world.stop_backend(backend, Health.DEAD)
     world.discovery.apply_changes([world.backend_entry(backend, io.BackendState.REMOVED)])
 
 
-def changes(world, for_ms: float) -> None:
-    count = max(1, round(CHANGES_A_DAY * WORST_MINUTE * for_ms / 60_000.0))
+def change_weights(world, duration_ms: float) -> None:
+    """Changes the weight of random backends, at the rate of the worst minute of a day."""
+    count = max(1, round(CHANGES_PER_DAY * WORST_MINUTE_SHARE * duration_ms / 60_000.0))
     names = list(world.backends)
-    for number in range(count):
+    for change in range(count):
         name, weight = world.rng.choice(names), world.rng.uniform(0.8, 1.25)
-        world.clock.call_at(world.clock.now + for_ms * number / count, _reweigh, world, name, weight)
+        world.clock.call_at(
+            world.clock.now + duration_ms * change / count, _change_weight, world, name, weight
+        )
 
 
-def _reweigh(world, name: str, weight: float) -> None:
-    if name in world.discovery.entries:  # not removed meanwhile
+def _change_weight(world, name: str, weight: float) -> None:
+    if name in world.discovery.entries:  # another fault may have removed it
         world.discovery.apply_changes([replace(world.discovery.entries[name], weight=weight)])
 
 
-def counter_slow(world, for_ms: float) -> None:
-    world.counter.slowdown = COUNTER_SLOW
-    world.clock.call_at(world.clock.now + for_ms, setattr, world.counter, "slowdown", 1.0)
+def slow_down_counter(world, duration_ms: float) -> None:
+    """Slows down every call of the counter service."""
+    world.counter.slowdown = COUNTER_SLOWDOWN
+    world.clock.call_at(world.clock.now + duration_ms, setattr, world.counter, "slowdown", 1.0)
 
 
-def counter_gone(world, for_ms: float) -> None:
+def stop_counter(world, duration_ms: float) -> None:
+    """Silences the counter service, which loses its data."""
     world.counter.is_down = True
-    world.clock.call_at(world.clock.now + for_ms, _counter_back, world)
+    world.clock.call_at(world.clock.now + duration_ms, _restore_counter, world)
 
 
-def _counter_back(world) -> None:
+def _restore_counter(world) -> None:
     world.counter.clear()
     world.counter.is_down = False
 
 
 FAULTS: dict[str, Fault] = {
-    "zone": Fault("the last zone is lost, gateways and backends, and comes back cold", zone),
-    "rack": Fault("one rack in forty falls silent in the last zone, and comes back cold", rack),
-    "region": Fault("the last region is cut off from the others, with discovery and counter outside", region),
-    "restart": Fault("a tenth of the gateways is killed and starts again after 2 s", restart),
+    "zone": Fault("the last zone is lost, gateways and backends, and comes back cold", lose_zone),
+    "rack": Fault("one rack in forty falls silent in the last zone, and comes back cold", lose_rack),
+    "region": Fault(
+        "the last region is cut off from the others, with discovery and counter outside", partition_region
+    ),
+    "restart": Fault("a tenth of the gateways is killed and starts again after 2 s", restart_gateways),
     "replace": Fault("six in ten backends are replaced by cold ones", replace_backends),
-    "changes": Fault("5,900 changes a day at the pace of their worst minute, one in sixty of them", changes),
-    "counter-slow": Fault("each call takes the counter twenty times as long", counter_slow),
-    "counter-gone": Fault("the counter is silent, and comes back empty", counter_gone),
+    "changes": Fault(
+        "5,900 changes a day at the pace of their worst minute, one in sixty of them", change_weights
+    ),
+    "counter-slow": Fault("each call takes the counter twenty times as long", slow_down_counter),
+    "counter-gone": Fault("the counter is silent, and comes back empty", stop_counter),
 }
--- a/scale/oracle.py
+++ b/scale/oracle.py
@@ -36,12 +36,12 @@
     tries, as a single gateway would that sees every request of the customer.
     """
 
-    __slots__ = ("plan", "_quota", "_asked", "_ceiling", "in_flight")
+    __slots__ = ("plan", "_quota", "_first_try_quota", "_ceiling", "in_flight")
 
     def __init__(self, plan: io.Plan, now_ms: float):
         self.plan = plan
         self._quota = TokenBucket(plan.rate, plan.burst, now_ms)
-        self._asked = TokenBucket(plan.rate, plan.burst, now_ms)
+        self._first_try_quota = TokenBucket(plan.rate, plan.burst, now_ms)
         self._ceiling = (
             TokenBucket(plan.ceiling_rate, plan.ceiling_burst, now_ms) if plan.ceiling_rate else None
         )
@@ -49,7 +49,7 @@
 
     def admits_first_try(self, now_ms: float, units: float) -> bool:
         """Records a first try; returns whether a single gateway that sees every request would admit it."""
-        return self._asked.take(now_ms, units)
+        return self._first_try_quota.take(now_ms, units)
 
     def take_quota(self, now_ms: float, units: float) -> bool:
         """Records the first attempt of a try; returns whether it is within the quota and, if so, takes its
--- a/scale/report.py
+++ b/scale/report.py
@@ -19,26 +19,28 @@
 def format_table(header: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
     """Formats an aligned table; the first column is left-aligned, the others are right-aligned."""
     lines = [list(header), *([number(cell) for cell in row] for row in rows)]
-    wide = [max(len(line[column]) for line in lines) for column in range(len(header))]
-    out = []
+    widths = [max(len(line[column]) for line in lines) for column in range(len(header))]
+    formatted = []
     for first, *others in lines:
-        cells = [cell.rjust(size) for cell, size in zip(others, wide[1:], strict=True)]
-        out.append("  ".join([first.ljust(wide[0]), *cells]).rstrip())
-    return "\n".join(out)
+        cells = [cell.rjust(width) for cell, width in zip(others, widths[1:], strict=True)]
+        formatted.append("  ".join([first.ljust(widths[0]), *cells]).rstrip())
+    return "\n".join(formatted)
 
 
-def format_pairs(found: dict[str, object]) -> str:
+def format_pairs(pairs: dict[str, object]) -> str:
     """Formats a dict as one aligned line per key."""
-    wide = max(map(len, found))
-    return "\n".join(f"{key.ljust(wide)}  {number(value)}" for key, value in found.items())
+    width = max(map(len, pairs))
+    return "\n".join(f"{key.ljust(width)}  {number(value)}" for key, value in pairs.items())
 
 
 def format_slopes(figures: Iterable[Figure]) -> str:
     """Formats a table of figures with their values at each size, slope and residual."""
     rows, values = [], ["values"]
     for figure in figures:
-        power, residual = figure.fit_power_law() or ("-", "-")
-        rows.append((figure.name, figure.unit, figure.size_of, power, residual))
-        values.append("  ".join(f"{number(float(x))}: {number(float(y))}" for x, y in figure.points))
+        slope, residual = figure.fit_power_law() or ("-", "-")
+        rows.append((figure.name, figure.unit, figure.size_of, slope, residual))
+        values.append(
+            "  ".join(f"{number(float(size))}: {number(float(value))}" for size, value in figure.points)
+        )
     lines = format_table(("figure", "unit", "by", "slope", "residual"), rows).split("\n")
-    return "\n".join(f"{line}  {value}" for line, value in zip(lines, values, strict=True))
+    return "\n".join(f"{line}  {points}" for line, points in zip(lines, values, strict=True))
