--- a/scale/costs.py
+++ b/scale/costs.py
@@ -1,4 +1,4 @@
-"""What the decision module alone costs: processor time and memory of one `Gateway`, by its lists' size."""
+"""Processor time and memory of the decision module (one `Gateway`) by the size of its lists."""
 
 from __future__ import annotations
 
@@ -12,34 +12,37 @@
 
 from .world import Options, World
 
-BEST_OF = 5  # times that a step is measured; the least counts, as whatever else runs only adds
-CHANGES = 50  # in a row, for the cost of one
-SHORT_S = 3.0  # of virtual time, for a play of the short form
+REPETITIONS = 5  # the minimum counts, as other processes only add time
+CHANGES_PER_MEASUREMENT = 50
+MAX_SHORT_DURATION_S = 3.0  # longest virtual duration of a simulation in the short form
+# The design's fleet at its peak.
 DESIGN_GATEWAYS = 3100
-REQUESTS_PER_GATEWAY_PER_S = 61.0  # requests a second at each gateway of the design
+REQUESTS_PER_GATEWAY_PER_S = 61.0
 
 
 @dataclass(frozen=True, slots=True)
 class MeasurementPoint:
-    """What to measure at: a size (its unit is the series' own), a seed, and whether in the short form."""
+    """One measurement of a series: the size, in the unit of the series, the seed, and whether it is short."""
 
     size: int
     seed: int = 1
     short: bool = False
 
-    def duration_s(self, usual: float) -> float:
-        """How long a play lasts that usually lasts so long."""
-        return min(usual, SHORT_S) if self.short else usual
+    def duration_s(self, full_duration_s: float) -> float:
+        """Returns the duration of a simulation in seconds, which is limited in the short form."""
+        return min(full_duration_s, MAX_SHORT_DURATION_S) if self.short else full_duration_s
 
 
-def entries(count: int, weight: float = 1.0) -> tuple[io.Backend, ...]:
+def make_entries(count: int, weight: float = 1.0) -> tuple[io.Backend, ...]:
+    """Returns the entries of a list of backends."""
     return tuple(
         io.Backend(f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:7070", f"z{n % 16}", "std-3c", weight=weight)
         for n in range(count)
     )
 
 
-def settings(plans: dict[str, io.Plan]) -> io.Settings:
+def make_settings(plans: dict[str, io.Plan]) -> io.Settings:
+    """Returns the settings of one gateway of the design's fleet."""
     return io.Settings(
         gateways=DESIGN_GATEWAYS,
         zone="z0",
@@ -53,115 +56,127 @@
     )
 
 
-def ready(backends: int) -> Gateway:
+def make_gateway(backends: int) -> Gateway:
+    """Returns a decision module that knows a list of backends."""
     plan = io.Plan("team", rate=10.0, burst=20.0, overrun_cost=0.6)
-    gateway = Gateway(settings({"team": plan}), seed=1)
-    gateway.handle(1000.0, io.BackendsChanged(io.ListKind.CACHED, 1, entries(backends)))
+    gateway = Gateway(make_settings({"team": plan}), seed=1)
+    gateway.handle(1000.0, io.BackendsChanged(io.ListKind.CACHED, 1, make_entries(backends)))
     return gateway
 
 
-def _ms(step: Callable[[], object]) -> float:
-    began = time.process_time()
+def _cpu_time_ms(step: Callable[[], object]) -> float:
+    started_s = time.process_time()
     step()
-    return (time.process_time() - began) * 1000.0
+    return (time.process_time() - started_s) * 1000.0
 
 
-def whole_list(sized: MeasurementPoint) -> dict[str, float]:
-    """The module takes in a whole list, as a gateway does that knows the backends already."""
-    gateway = ready(sized.size)
-    event = io.BackendsChanged(io.ListKind.COMPLETE, 2, entries(sized.size, 1.1))
-    return {"ms": min(_ms(lambda: gateway.handle(2000.0, event)) for _ in range(BEST_OF))}
+def measure_full_list(point: MeasurementPoint) -> dict[str, float]:
+    """Measures the processor time to apply a full list whose backends are known already."""
+    gateway = make_gateway(point.size)
+    event = io.BackendsChanged(io.ListKind.COMPLETE, 2, make_entries(point.size, 1.1))
+    return {"ms": min(_cpu_time_ms(lambda: gateway.handle(2000.0, event)) for _ in range(REPETITIONS))}
 
 
-def one_change(sized: MeasurementPoint) -> dict[str, float]:
-    """The module takes in a change of one entry."""
-    gateway, event = ready(sized.size), io.BackendsChanged(io.ListKind.DELTA, 2, entries(1, 1.1))
+def measure_change(point: MeasurementPoint) -> dict[str, float]:
+    """Measures the processor time to apply a change of one entry."""
+    gateway, event = make_gateway(point.size), io.BackendsChanged(io.ListKind.DELTA, 2, make_entries(1, 1.1))
 
-    def several() -> None:
-        for _ in range(CHANGES):
+    def apply_changes() -> None:
+        for _ in range(CHANGES_PER_MEASUREMENT):
             gateway.handle(2000.0, event)
 
-    return {"ms": min(_ms(several) for _ in range(BEST_OF)) / CHANGES}
+    return {"ms": min(_cpu_time_ms(apply_changes) for _ in range(REPETITIONS)) / CHANGES_PER_MEASUREMENT}
 
 
-def memory_of_list(sized: MeasurementPoint) -> dict[str, float]:
-    """What the module holds for each backend of its list."""
-    listed = entries(sized.size)
+def measure_list_memory(point: MeasurementPoint) -> dict[str, float]:
+    """Measures the memory per backend of the list."""
+    backends = make_entries(point.size)
     tracemalloc.start()
-    gateway = Gateway(settings({}), seed=1)
-    gateway.handle(1000.0, io.BackendsChanged(io.ListKind.CACHED, 1, listed))
-    size, _ = tracemalloc.get_traced_memory()
+    gateway = Gateway(make_settings({}), seed=1)
+    gateway.handle(1000.0, io.BackendsChanged(io.ListKind.CACHED, 1, backends))
+    size_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return {"kb": size / 1024.0 / sized.size}
+    return {"kb": size_bytes / 1024.0 / point.size}
 
 
-def memory_of_customers(sized: MeasurementPoint) -> dict[str, float]:
-    """What the module holds for each customer that it has seen of late, after one request of each was served.
-    Each comes in a millisecond after the one before, or all within 5 s where they are many."""
-    customers = sized.size
-    gateway, gap_ms = ready(100), min(1.0, 5000.0 / customers)
+def measure_customer_memory(point: MeasurementPoint) -> dict[str, float]:
+    """Measures the memory per recent customer, after one request of each has been served.
+
+    The requests arrive one per millisecond, or evenly within 5 s if there are more than 5,000.
+    """
+    customers = point.size
+    gateway, gap_ms = make_gateway(100), min(1.0, 5000.0 / customers)
     tracemalloc.start()
     for number in range(customers):
-        now, name = 2000.0 + number * gap_ms, f"r{number}"
-        line = gateway.handle(
-            now, io.RequestArrived(name, f"{number:016x}", "team", "look", now + 1000.0, 1.0, 0, 16)
+        now_ms, request_id = 2000.0 + number * gap_ms, f"r{number}"
+        actions = gateway.handle(
+            now_ms,
+            io.RequestArrived(request_id, f"{number:016x}", "team", "look", now_ms + 1000.0, 1.0, 0, 16),
         )
-        while line:
-            act = line.pop(0)
-            if isinstance(act, io.CounterAdd):
-                line += gateway.handle(now, io.CounterResult(act.name, io.Outcome.OK, act.amount, 1.0))
-            elif isinstance(act, io.Send):
-                line += gateway.handle(
-                    now, io.AttemptEnded(act.request, 0, act.backend, io.Outcome.OK, True, 100.0)
+        while actions:
+            action = actions.pop(0)
+            if isinstance(action, io.CounterAdd):
+                actions += gateway.handle(
+                    now_ms, io.CounterResult(action.name, io.Outcome.OK, action.amount, 1.0)
+                )
+            elif isinstance(action, io.Send):
+                actions += gateway.handle(
+                    now_ms, io.AttemptEnded(action.request, 0, action.backend, io.Outcome.OK, True, 100.0)
                 )
-    # The alarms of the requests are due by then: what is left belongs to the customers.
+    # All timers of the requests are due by then, so that the remaining memory belongs to the customers.
     gateway.handle(2000.0 + customers * gap_ms + 2000.0, io.TimerFired("wake"))
-    size, _ = tracemalloc.get_traced_memory()
+    size_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return {"kb": size / 1024.0 / customers}
+    return {"kb": size_bytes / 1024.0 / customers}
 
 
-class Timed(Gateway):
-    """Keeps the processor time of its steps, but for lists."""
+class TimedGateway(Gateway):
+    """A decision module that measures the processor time of its steps, except those that apply lists.
+
+    `busy_s` is the total and `longest_s` the maximum.
+    """
 
     def __init__(self, settings: io.Settings, seed: int):
         super().__init__(settings, seed)
-        self.busy = self.longest = 0.0
+        self.busy_s = self.longest_s = 0.0
 
     def handle(self, now_ms, event):
-        began = time.thread_time()
-        acts = super().handle(now_ms, event)
-        took = time.thread_time() - began
+        started_s = time.thread_time()
+        actions = super().handle(now_ms, event)
+        elapsed_s = time.thread_time() - started_s
         if not isinstance(event, io.BackendsChanged):
-            self.busy += took
-            self.longest = max(self.longest, took)
-        return acts
+            self.busy_s += elapsed_s
+            self.longest_s = max(self.longest_s, elapsed_s)
+        return actions
+
 
+def measure_decisions(point: MeasurementPoint) -> dict[str, float]:
+    """Measures the processor time per request of a gateway with the design's load.
 
-def decisions(sized: MeasurementPoint) -> dict[str, float]:
-    """What requests cost a gateway of the design, at 61 a second for 12 s (one sweep over all it holds)."""
-    modules: list[Timed] = []
+    The simulation is long enough to include one periodic sweep of the module's tables.
+    """
+    modules: list[TimedGateway] = []
 
-    def module(settings: io.Settings, seed: int) -> Timed:
-        modules.append(Timed(settings, seed))
+    def make_module(settings: io.Settings, seed: int) -> TimedGateway:
+        modules.append(TimedGateway(settings, seed))
         return modules[-1]
 
     world = World(
         Options(
             gateways=2,
             fleet=DESIGN_GATEWAYS,
-            backends=sized.size,
+            backends=point.size,
             rate=2.0 * REQUESTS_PER_GATEWAY_PER_S,
             mix="table",
             spread=(2, 2),
-            seconds=sized.duration_s(12.0),
+            seconds=point.duration_s(12.0),
             counter_per_try=4.0,
-            seed=sized.seed,
+            seed=point.seed,
         ),
-        module,
+        make_module,
     )
-    found = world.play()
+    figures = world.play()
     return {
-        "us": sum(m.busy for m in modules) * 1e6 / max(1, found["tries"]),
-        "longest_ms": max(m.longest for m in modules) * 1000.0,
+        "us": sum(module.busy_s for module in modules) * 1e6 / max(1, figures["tries"]),
+        "longest_ms": max(module.longest_s for module in modules) * 1000.0,
     }
--- a/scale/measurements.py
+++ b/scale/measurements.py
@@ -1,4 +1,5 @@
-"""Every figure of the hollow tier: which plays it comes from, at which sizes, and what is read off them."""
+"""The figures of hollow fleets: which simulations they come from, at which sizes, and the effects of
+faults."""
 
 from __future__ import annotations
 
@@ -13,14 +14,15 @@
 from .figure import Figure
 from .world import Options, World, play
 
-DEFAULT_PROCESSES = 4  # plays side by side: each takes a core and some hundred MB
-HARM = 0.03  # of the worth asked: a second that serves so much less than without the fault is harmed
-SMOOTHING_S = 2  # seconds that are taken together for this
+DEFAULT_PROCESSES = 4  # parallel simulations; each takes one core and several hundred MB
+# A fault has an effect in a second if the served share of the worth is lower by this.
+HARM_THRESHOLD_SHARE = 0.03
+SMOOTHING_S = 2  # the served share is computed over this many seconds
 
 
 @dataclass(frozen=True, slots=True)
 class Value:
-    """One number of a play's record."""
+    """A figure of a series: its name and unit, and its key in the measured record."""
 
     name: str
     unit: str
@@ -29,42 +31,46 @@
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """Figures that are read off the same plays, one play for each size.
+    """Figures that come from the same measurements, one for each size.
 
-    `measure` runs in a process of its own and gives a record. `alone` are those that measure processor time,
-    and are not run side by side.
+    `measure` runs in a process of its own and returns a record. `short` has the sizes of the short form. A
+    series with `alone` measures processor time or memory and does not run in parallel with others.
     """
 
     name: str
     size_of: str
     sizes: tuple[int, ...]
-    short: tuple[int, ...]  # the sizes of the short form
+    short: tuple[int, ...]
     about: str
     measure: Callable[[MeasurementPoint], dict]
     values: tuple[Value, ...]
     alone: bool = False
 
 
-def sets(sized: MeasurementPoint) -> dict:
-    """A steady day: a gateway of a large set sees a customer each ten seconds or more, and has to know it."""
-    gateways, seconds = (8 if sized.short else 16), sized.duration_s(180.0)
+def measure_sets(point: MeasurementPoint) -> dict:
+    """Simulates steady traffic with customers in sets of the given size.
+
+    The simulation is long because each gateway of a large set sees a customer only every ten seconds or more.
+    """
+    gateways, seconds = (8 if point.short else 16), point.duration_s(180.0)
     return play(
         Options(
             gateways=gateways,
             backends=4 * gateways,
             rate=gateways * REQUESTS_PER_GATEWAY_PER_S / 2.0,
             mix="table",
-            spread=(sized.size, sized.size),
+            spread=(point.size, point.size),
             counter_per_try=4.0,
             seconds=seconds,
             warm_up=seconds * 2.0 / 3.0,
-            seed=sized.seed,
+            seed=point.seed,
         )
     )
 
 
-def customers(sized: MeasurementPoint) -> dict:
-    gateways = 8 if sized.short else 16
+def measure_customers(point: MeasurementPoint) -> dict:
+    """Simulates a constant total rate from the given number of customers."""
+    gateways = 8 if point.short else 16
     return play(
         Options(
             gateways=gateways,
@@ -72,16 +78,17 @@
             rate=gateways * REQUESTS_PER_GATEWAY_PER_S,
             mix="table",
             spread=(8, 8),
-            customers=sized.size,
+            customers=point.size,
             counter_per_try=4.0,
-            seconds=sized.duration_s(12.0),
-            seed=sized.seed,
+            seconds=point.duration_s(12.0),
+            seed=point.seed,
         )
     )
 
 
-def regions(sized: MeasurementPoint) -> dict:
-    gateways = 8 if sized.short else 30
+def measure_regions(point: MeasurementPoint) -> dict:
+    """Simulates a fleet over the given number of regions."""
+    gateways = 8 if point.short else 30
     return play(
         Options(
             gateways=gateways,
@@ -89,54 +96,57 @@
             rate=gateways * REQUESTS_PER_GATEWAY_PER_S,
             mix="table",
             zones=15,
-            regions=sized.size,
+            regions=point.size,
             spread=(8, 8),
             counter_per_try=4.0,
-            seconds=sized.duration_s(12.0),
-            seed=sized.seed,
+            seconds=point.duration_s(12.0),
+            seed=point.seed,
         )
     )
 
 
-def lists(sized: MeasurementPoint) -> dict:
+def measure_lists(point: MeasurementPoint) -> dict:
+    """Simulates two gateways with the given number of backends."""
     return play(
         Options(
             gateways=2,
             fleet=DESIGN_GATEWAYS,
-            backends=sized.size,
+            backends=point.size,
             rate=2.0 * REQUESTS_PER_GATEWAY_PER_S,
             mix="table",
             spread=(2, 2),
             counter_per_try=4.0,
-            seconds=sized.duration_s(20.0),
-            seed=sized.seed,
+            seconds=point.duration_s(20.0),
+            seed=point.seed,
         )
     )
 
 
-def _fleet(sized: MeasurementPoint, counter_per_try: float) -> dict:
+def _measure_fleet(point: MeasurementPoint, counter_per_try: float) -> dict:
     return play(
         Options(
-            gateways=sized.size,
-            backends=sized.size,
-            spread=(4, 8) if sized.short else (8, 30),
+            gateways=point.size,
+            backends=point.size,
+            spread=(4, 8) if point.short else (8, 30),
             counter_per_try=counter_per_try,
-            seconds=sized.duration_s(12.0),
-            seed=sized.seed,
+            seconds=point.duration_s(12.0),
+            seed=point.seed,
         )
     )
 
 
-def fleet_crowded(sized: MeasurementPoint) -> dict:
-    return _fleet(sized, 0.25)
+def measure_crowded_counter(point: MeasurementPoint) -> dict:
+    """Simulates a fleet whose counter service has capacity for only a quarter of a call per first try."""
+    return _measure_fleet(point, 0.25)
 
 
-def fleet_ample(sized: MeasurementPoint) -> dict:
-    return _fleet(sized, 2.0)
+def measure_ample_counter(point: MeasurementPoint) -> dict:
+    """Simulates a fleet whose counter service has capacity for two calls per first try."""
+    return _measure_fleet(point, 2.0)
 
 
-def _ratio(size: int) -> Options:
-    """The design's backends to a gateway, its load on each, and customers that stay inside their quotas."""
+def _design_options(size: int) -> Options:
+    """Returns options with the design's ratio of backends to gateways and customers within their quotas."""
     backends = round(size * 26_000 / DESIGN_GATEWAYS)
     return Options(
         gateways=size,
@@ -150,77 +160,79 @@
     )
 
 
-def balance(sized: MeasurementPoint) -> dict:
-    return play(replace(_ratio(sized.size), seconds=sized.duration_s(10.0), seed=sized.seed))
+def measure_balance(point: MeasurementPoint) -> dict:
+    """Simulates the design's fleet scaled to the given number of gateways."""
+    return play(replace(_design_options(point.size), seconds=point.duration_s(10.0), seed=point.seed))
 
 
-def cold(sized: MeasurementPoint) -> dict:
+def measure_cold_backends(point: MeasurementPoint) -> dict:
+    """Simulates the design's fleet, scaled, while most backends are replaced."""
     return play(
         replace(
-            _ratio(sized.size),
-            seconds=sized.duration_s(10.0),
-            seed=sized.seed,
+            _design_options(point.size),
+            seconds=point.duration_s(10.0),
+            seed=point.seed,
             faults=("replace",),
             fault_at=1.0,
-            fault_for=sized.duration_s(7.0),
+            fault_for=point.duration_s(7.0),
         )
     )
 
 
-LISTS, LISTS_SHORT = (200, 2000, 26_000, 104_000), (200, 400, 800, 1600)
-FLEETS, FLEETS_SHORT = (30, 60, 120, 240), (8, 10, 12, 14)
-COUNTED = (
+LIST_SIZES, SHORT_LIST_SIZES = (200, 2000, 26_000, 104_000), (200, 400, 800, 1600)
+FLEET_SIZES, SHORT_FLEET_SIZES = (30, 60, 120, 240), (8, 10, 12, 14)
+COUNTER_VALUES = (
     Value("counter calls a try", "calls", "counter_calls_per_try"),
     Value("tries that wait for a call", "share", "waited_for_call_share"),
     Value("to the first attempt, median", "ms", "to_first_attempt_ms_p50"),
     Value("to the first attempt, 99th", "ms", "to_first_attempt_ms_p99"),
 )
-QUOTAS = (
+QUOTA_VALUES = (
     Value("beyond quotas, price", "share", "beyond_price"),
     Value("refused with room", "share", "refused_with_room_share"),
     Value("refused, half unused", "share", "refused_half_unused_share"),
     Value("served of the worth", "share", "served_worth_share"),
-    *COUNTED,
+    *COUNTER_VALUES,
 )
 
 SERIES: tuple[Series, ...] = (
     Series(
         "whole-list",
         "backends",
-        LISTS,
-        LISTS_SHORT,
+        LIST_SIZES,
+        SHORT_LIST_SIZES,
         "the module takes in a whole list that it knows",
-        costs.whole_list,
+        costs.measure_full_list,
         (Value("take in a whole list", "ms", "ms"),),
         True,
     ),
     Series(
         "change",
         "backends",
-        LISTS,
-        LISTS_SHORT,
+        LIST_SIZES,
+        SHORT_LIST_SIZES,
         "the module takes in a change of one entry",
-        costs.one_change,
+        costs.measure_change,
         (Value("take in one change", "ms", "ms"),),
         True,
     ),
     Series(
         "decision",
         "backends",
-        LISTS,
-        LISTS_SHORT,
+        LIST_SIZES,
+        SHORT_LIST_SIZES,
         "the module's processor time at 61 requests a second",
-        costs.decisions,
+        costs.measure_decisions,
         (Value("decide on a request", "us", "us"), Value("longest step", "ms", "longest_ms")),
         True,
     ),
     Series(
         "memory-list",
         "backends",
-        LISTS,
-        LISTS_SHORT,
+        LIST_SIZES,
+        SHORT_LIST_SIZES,
         "memory of the module for a backend of its list",
-        costs.memory_of_list,
+        costs.measure_list_memory,
         (Value("memory a backend", "KB", "kb"),),
         True,
     ),
@@ -230,17 +242,17 @@
         (300, 1000, 3000, 10_000),
         (50, 100, 200, 400),
         "memory of the module for a customer that it has seen of late",
-        costs.memory_of_customers,
+        costs.measure_customer_memory,
         (Value("memory a customer", "KB", "kb"),),
         True,
     ),
     Series(
         "lists",
         "backends",
-        LISTS,
-        LISTS_SHORT,
+        LIST_SIZES,
+        SHORT_LIST_SIZES,
         "two gateways of 3,100 at 61 requests a second each",
-        lists,
+        measure_lists,
         (Value("new connections a try", "connections", "connections_per_try"),),
     ),
     Series(
@@ -249,8 +261,8 @@
         (2, 4, 8, 16),
         (2, 4, 6, 8),
         "customers at 1.36 requests a second and a quarter of their quota",
-        sets,
-        COUNTED,
+        measure_sets,
+        COUNTER_VALUES,
     ),
     Series(
         "customers",
@@ -258,8 +270,8 @@
         (1000, 5000, 30_000, 140_000),
         (200, 400, 800, 1600),
         "customers of the table's quota, in sets of 8, that all together ask 976 requests a second",
-        customers,
-        (*COUNTED[:2], Value("counter names held", "names", "counter_names_most")),
+        measure_customers,
+        (*COUNTER_VALUES[:2], Value("counter names held", "names", "counter_names_most")),
     ),
     Series(
         "regions",
@@ -267,9 +279,9 @@
         (1, 2, 3, 5),
         (1, 2, 3, 5),
         "customers of the table in sets of 8 over 15 zones, 15 ms one way between regions",
-        regions,
+        measure_regions,
         (
-            *COUNTED[2:],
+            *COUNTER_VALUES[2:],
             Value("added, median", "ms", "added_ms_p50"),
             Value("added, 99th", "ms", "added_ms_p99"),
         ),
@@ -278,9 +290,9 @@
         "balance",
         "gateways",
         (15, 30, 60, 120),
-        FLEETS_SHORT,
+        SHORT_FLEET_SIZES,
         "8.4 backends of 2 cores to a gateway at 61 requests a second",
-        balance,
+        measure_balance,
         (
             Value("busiest backend over mean", "times", "busiest_backend_over_mean"),
             Value("most connections on a backend", "connections", "connections_most_on_a_backend"),
@@ -290,35 +302,37 @@
         "cold",
         "gateways",
         (15, 30, 60, 120),
-        FLEETS_SHORT,
+        SHORT_FLEET_SIZES,
         "the same while six in ten backends are replaced within 7 s",
-        cold,
+        measure_cold_backends,
         (Value("cold load of its budget, most", "share", "cold_load_of_budget_most"),),
     ),
     Series(
         "crowded",
         "gateways",
-        FLEETS,
-        FLEETS_SHORT,
+        FLEET_SIZES,
+        SHORT_FLEET_SIZES,
         "a calm day where the counter bears a fourth of a call a try, sets of 8 to 30",
-        fleet_crowded,
-        QUOTAS,
+        measure_crowded_counter,
+        QUOTA_VALUES,
     ),
     Series(
         "ample",
         "gateways",
-        FLEETS,
-        FLEETS_SHORT,
+        FLEET_SIZES,
+        SHORT_FLEET_SIZES,
         "the same day where it bears two calls a try",
-        fleet_ample,
-        QUOTAS,
+        measure_ample_counter,
+        QUOTA_VALUES,
     ),
 )
 
 
-def _timed(measure: Callable[[MeasurementPoint], dict], sized: MeasurementPoint) -> tuple[dict, float]:
-    began = monotonic()
-    return measure(sized), monotonic() - began
+def _measure_with_time(
+    measure: Callable[[MeasurementPoint], dict], point: MeasurementPoint
+) -> tuple[dict, float]:
+    started_s = monotonic()
+    return measure(point), monotonic() - started_s
 
 
 def measure_figures(
@@ -328,28 +342,34 @@
     processes: int,
     progress: Callable[[str], None],
 ) -> list[Figure]:
-    """Every figure of these series. What measures processor time comes first, one at a time."""
+    """Measures all figures of these series, those that must run alone first.
+
+    `progress` receives a line of text after each measurement.
+    """
     chosen = list(chosen)
-    plays = [(series, size) for series in chosen for size in (series.short if short else series.sizes)]
-    # The largest begin first, so that none is left alone at the end.
-    waves = [
-        (1, [x for x in plays if x[0].alone]),
-        (processes, sorted((x for x in plays if not x[0].alone), key=lambda x: -x[1])),
+    runs = [(series, size) for series in chosen for size in (series.short if short else series.sizes)]
+    # The largest start first, which shortens the total time.
+    batches = [
+        (1, [run for run in runs if run[0].alone]),
+        (processes, sorted((run for run in runs if not run[0].alone), key=lambda run: -run[1])),
     ]
     found: dict[tuple[str, int], dict] = {}
-    for side_by_side, wave in waves:
-        if not wave:
+    for parallel, batch in batches:
+        if not batch:
             continue
-        with ProcessPoolExecutor(side_by_side) as pool:
-            calls = {
-                pool.submit(_timed, x.measure, MeasurementPoint(size, seed, short)): (x.name, size)
-                for x, size in wave
+        with ProcessPoolExecutor(parallel) as pool:
+            futures = {
+                pool.submit(_measure_with_time, series.measure, MeasurementPoint(size, seed, short)): (
+                    series.name,
+                    size,
+                )
+                for series, size in batch
             }
-            for call in as_completed(calls):
-                record, took = call.result()
-                found[calls[call]] = record
-                name, size = calls[call]
-                progress(f"{len(found)} of {len(plays)}: {name} {size:,} in {took:.1f} s")
+            for future in as_completed(futures):
+                record, elapsed_s = future.result()
+                found[futures[future]] = record
+                name, size = futures[future]
+                progress(f"{len(found)} of {len(runs)}: {name} {size:,} in {elapsed_s:.1f} s")
     return [
         Figure(
             f"{series.name}: {value.name}",
@@ -369,53 +389,60 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Harm:
-    """What a fault did, beside the same day without it. Shares are of the worth asked inside quotas."""
+class FaultEffect:
+    """The effect of a fault, compared with the same simulation without it.
+
+    Shares are of the worth of the demand within quotas.
+    """
 
     fault: str
-    served_before: float  # over the seconds before it whose aims were over by then
-    served_during: float  # over its time
-    served_least: float  # over the worst two seconds from its begin on
-    lower_for_s: float  # from its begin until the last of the seconds that served less than without it
-    beyond_during: float  # price of what was sent on beyond quotas, over its time
-    beyond_without: float  # the same on the day without it
-    lost: int
-    fallen: int
-    broken: dict[str, int]
-
-
-def _seconds_of(options: Options) -> dict:
+    served_before: float  # before the fault, except for its last seconds, whose requests it may still affect
+    served_during: float
+    served_least: float  # over the worst SMOOTHING_S seconds from the start of the fault
+    lower_for_s: float  # from the start of the fault to the last time with less served than without the fault
+    beyond_during: float  # cost of tries beyond quotas during the fault
+    beyond_without: float  # the same without the fault
+    lost: int  # tries whose gateway ended
+    fallen: int  # cold backends that failed under overload
+    broken: dict[str, int]  # rule violations
+
+
+def _simulate(options: Options) -> dict:
     world = World(options)
     found = world.play()
     return {"figures": found, "seconds": [(s.asked, s.served, s.beyond) for s in world.record.seconds]}
 
 
-def _over(seconds: list, first: int, last: int, column: int) -> float:
-    asked = sum(second[0] for second in seconds[first:last])
-    return sum(second[column] for second in seconds[first:last]) / asked if asked else 0.0
+def _share_over(seconds: list, first: int, end_second: int, column: int) -> float:
+    asked = sum(second[0] for second in seconds[first:end_second])
+    return sum(second[column] for second in seconds[first:end_second]) / asked if asked else 0.0
 
 
-def _harm(fault: str, options: Options, played: dict, calm: dict) -> Harm:
-    at, end = int(options.fault_at), int(options.fault_at + options.fault_for)
-    mine, without, last = played["seconds"], calm["seconds"], int(options.seconds)
+def _fault_effect(fault: str, options: Options, played: dict, baseline: dict) -> FaultEffect:
+    start_second, fault_end_second = int(options.fault_at), int(options.fault_at + options.fault_for)
+    fault_seconds, baseline_seconds, end_second = played["seconds"], baseline["seconds"], int(options.seconds)
     windows = [
         (
             second,
-            _over(mine, second, second + SMOOTHING_S, 1),
-            _over(without, second, second + SMOOTHING_S, 1),
+            _share_over(fault_seconds, second, second + SMOOTHING_S, 1),
+            _share_over(baseline_seconds, second, second + SMOOTHING_S, 1),
         )
-        for second in range(at, last - SMOOTHING_S + 1)
+        for second in range(start_second, end_second - SMOOTHING_S + 1)
     ]
     record = played["figures"]
-    harmed = [second for second, served, usual in windows if served < usual - HARM]
-    return Harm(
+    affected_seconds = [
+        second
+        for second, served, baseline_served in windows
+        if served < baseline_served - HARM_THRESHOLD_SHARE
+    ]
+    return FaultEffect(
         fault,
-        _over(mine, 0, at - SMOOTHING_S, 1),
-        _over(mine, at, end, 1),
+        _share_over(fault_seconds, 0, start_second - SMOOTHING_S, 1),
+        _share_over(fault_seconds, start_second, fault_end_second, 1),
         min(served for _, served, _ in windows),
-        float(harmed[-1] + SMOOTHING_S - at) if harmed else 0.0,
-        _over(mine, at, end, 2),
-        _over(without, at, end, 2),
+        float(affected_seconds[-1] + SMOOTHING_S - start_second) if affected_seconds else 0.0,
+        _share_over(fault_seconds, start_second, fault_end_second, 2),
+        _share_over(baseline_seconds, start_second, fault_end_second, 2),
         record["lost"],
         record["cold_backends_fallen"],
         record["broken"],
@@ -427,12 +454,18 @@
     options: Options,
     processes: int,
     progress: Callable[[str], None],
-) -> list[Harm]:
-    """Each fault on a day of its own, beside the same day without any."""
+) -> list[FaultEffect]:
+    """Simulates each fault separately and compares it with the same simulation without faults.
+
+    `progress` receives a line of text after each simulation.
+    """
     names = list(names)
     with ProcessPoolExecutor(processes) as pool:
-        calm = pool.submit(_seconds_of, replace(options, faults=()))
-        calls = {pool.submit(_seconds_of, replace(options, faults=(name,))): name for name in names}
-        for number, call in enumerate(as_completed(calls), 1):
-            progress(f"{number} of {len(names)}: {calls[call]}, {FAULTS[calls[call]].about}")
-        return [_harm(name, options, call.result(), calm.result()) for call, name in calls.items()]
+        baseline = pool.submit(_simulate, replace(options, faults=()))
+        futures = {pool.submit(_simulate, replace(options, faults=(name,))): name for name in names}
+        for number, future in enumerate(as_completed(futures), 1):
+            progress(f"{number} of {len(names)}: {futures[future]}, {FAULTS[futures[future]].about}")
+        return [
+            _fault_effect(name, options, future.result(), baseline.result())
+            for future, name in futures.items()
+        ]
