--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -37,7 +37,7 @@
         "number",
         "backend",
         "pool",
-        "incarnation",
+        "backend_incarnation",
         "sent_ms",
         "ended",
         "lost",
@@ -45,7 +45,7 @@
 
     def __init__(self, sequence: int, client_try: Try, number: int, pool: Pool, sent_ms: float):
         self.sequence, self.client_try, self.number, self.sent_ms = sequence, client_try, number, sent_ms
-        self.pool, self.backend, self.incarnation = pool, pool.backend, -1  # -1: no connection yet
+        self.pool, self.backend, self.backend_incarnation = pool, pool.backend, -1  # -1: no connection yet
         self.ended = self.lost = False
 
 
@@ -249,7 +249,7 @@
         else:
             world.record.connections += 1
             ready_ms = now_ms + HANDSHAKE_RTTS * 2.0 * link_ms + HANDSHAKE_MS
-        attempt.incarnation = backend.incarnation
+        attempt.backend_incarnation = backend.incarnation
         world.clock.call_at(ready_ms + link_ms, self._deliver, attempt, link_ms)
         return ready_ms
 
@@ -258,7 +258,7 @@
         if attempt.ended:
             return
         world, backend = self.world, attempt.backend
-        if backend.health is Health.DEAD or backend.incarnation != attempt.incarnation:
+        if backend.health is Health.DEAD or backend.incarnation != attempt.backend_incarnation:
             world.clock.call_at(world.clock.now + link_ms, self._end_attempt, attempt, io.Outcome.RESET)
             return
         if backend.health is Health.SILENT or not world.links.can_reach(self.zone, backend.zone):
@@ -315,9 +315,9 @@
         world, client_try, now_ms = self.world, attempt.client_try, self.world.clock.now
         attempt.ended = True
         world.record.outcomes[outcome.value] += 1
-        if attempt.incarnation >= 0:
+        if attempt.backend_incarnation >= 0:
             reusable = outcome in (io.Outcome.OK, io.Outcome.ERROR, io.Outcome.OVERLOADED)
-            attempt.pool.release(now_ms, attempt.incarnation, reusable)
+            attempt.pool.release(now_ms, attempt.backend_incarnation, reusable)
         world.accounts[client_try.customer].in_flight -= 1
         del client_try.in_flight_attempts[attempt.number]
         self._attempts.pop((client_try.request, attempt.number), None)
--- a/scale/measurements.py
+++ b/scale/measurements.py
@@ -201,7 +201,7 @@
         "backends",
         LIST_SIZES,
         SHORT_LIST_SIZES,
-        "the module takes in a whole list that it knows",
+        "the module applies a full list whose backends it knows",
         costs.measure_full_list,
         (Value("take in a whole list", "ms", "ms"),),
         True,
@@ -211,7 +211,7 @@
         "backends",
         LIST_SIZES,
         SHORT_LIST_SIZES,
-        "the module takes in a change of one entry",
+        "the module applies a change of one entry",
         costs.measure_change,
         (Value("take in one change", "ms", "ms"),),
         True,
@@ -221,7 +221,7 @@
         "backends",
         LIST_SIZES,
         SHORT_LIST_SIZES,
-        "the module's processor time at 61 requests a second",
+        "processor time of the module at 61 requests per second",
         costs.measure_decisions,
         (Value("decide on a request", "us", "us"), Value("longest step", "ms", "longest_ms")),
         True,
@@ -231,7 +231,7 @@
         "backends",
         LIST_SIZES,
         SHORT_LIST_SIZES,
-        "memory of the module for a backend of its list",
+        "memory of the module per backend of its list",
         costs.measure_list_memory,
         (Value("memory a backend", "KB", "kb"),),
         True,
@@ -241,7 +241,7 @@
         "customers seen",
         (300, 1000, 3000, 10_000),
         (50, 100, 200, 400),
-        "memory of the module for a customer that it has seen of late",
+        "memory of the module per recent customer",
         costs.measure_customer_memory,
         (Value("memory a customer", "KB", "kb"),),
         True,
@@ -251,7 +251,7 @@
         "backends",
         LIST_SIZES,
         SHORT_LIST_SIZES,
-        "two gateways of 3,100 at 61 requests a second each",
+        "two of 3,100 gateways at 61 requests per second each",
         measure_lists,
         (Value("new connections a try", "connections", "connections_per_try"),),
     ),
@@ -260,7 +260,7 @@
         "gateways in a set",
         (2, 4, 8, 16),
         (2, 4, 6, 8),
-        "customers at 1.36 requests a second and a quarter of their quota",
+        "customers at 1.36 requests per second, a quarter of their quota",
         measure_sets,
         COUNTER_VALUES,
     ),
@@ -269,7 +269,7 @@
         "customers",
         (1000, 5000, 30_000, 140_000),
         (200, 400, 800, 1600),
-        "customers of the table's quota, in sets of 8, that all together ask 976 requests a second",
+        "customers with the quota of the mix `table`, in sets of 8, at 976 requests per second in total",
         measure_customers,
         (*COUNTER_VALUES[:2], Value("counter names held", "names", "counter_names_most")),
     ),
@@ -278,7 +278,7 @@
         "regions",
         (1, 2, 3, 5),
         (1, 2, 3, 5),
-        "customers of the table in sets of 8 over 15 zones, 15 ms one way between regions",
+        "customers of the mix `table` in sets of 8 over 15 zones, 15 ms one way between regions",
         measure_regions,
         (
             *COUNTER_VALUES[2:],
@@ -291,7 +291,7 @@
         "gateways",
         (15, 30, 60, 120),
         SHORT_FLEET_SIZES,
-        "8.4 backends of 2 cores to a gateway at 61 requests a second",
+        "8.4 backends of 2 cores per gateway, which has 61 requests per second",
         measure_balance,
         (
             Value("busiest backend over mean", "times", "busiest_backend_over_mean"),
@@ -303,7 +303,7 @@
         "gateways",
         (15, 30, 60, 120),
         SHORT_FLEET_SIZES,
-        "the same while six in ten backends are replaced within 7 s",
+        "the same as `balance` while six in ten backends are replaced within 7 s",
         measure_cold_backends,
         (Value("cold load of its budget, most", "share", "cold_load_of_budget_most"),),
     ),
@@ -312,7 +312,7 @@
         "gateways",
         FLEET_SIZES,
         SHORT_FLEET_SIZES,
-        "a calm day where the counter bears a fourth of a call a try, sets of 8 to 30",
+        "the mix `calm` in sets of 8 to 30, with a counter capacity of a quarter of a call per first try",
         measure_crowded_counter,
         QUOTA_VALUES,
     ),
@@ -321,7 +321,7 @@
         "gateways",
         FLEET_SIZES,
         SHORT_FLEET_SIZES,
-        "the same day where it bears two calls a try",
+        "the same as `crowded` with a counter capacity of two calls per first try",
         measure_ample_counter,
         QUOTA_VALUES,
     ),
@@ -359,11 +359,11 @@
             continue
         with ProcessPoolExecutor(parallel) as pool:
             futures = {
-                pool.submit(_measure_with_time, series.measure, MeasurementPoint(size, seed, short)): (
-                    series.name,
+                pool.submit(_measure_with_time, entry.measure, MeasurementPoint(size, seed, short)): (
+                    entry.name,
                     size,
                 )
-                for series, size in batch
+                for entry, size in batch
             }
             for future in as_completed(futures):
                 record, elapsed_s = future.result()
--- a/scale/program.py
+++ b/scale/program.py
@@ -1,4 +1,4 @@
-"""The real program as a process of its own: started, read from outside, and ended by its id."""
+"""Runs the real gateway as a child process and measures it from outside."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-LISTEN_HOST = "127.0.0.2"  # for ports chosen ahead: connections going out take theirs on 127.0.0.1
-POLL_S = 0.004  # between two looks whether a gateway is ready
-BACKENDS_PER_GATEWAY = 26000 / 3100  # of the design; the program paces itself by the gateways' number
+# Outgoing connections use 127.0.0.1, so that they cannot take the port chosen for the gateway.
+LISTEN_HOST = "127.0.0.2"
+POLL_INTERVAL_S = 0.004  # between two checks whether a gateway is ready
+BACKENDS_PER_GATEWAY = 26000 / 3100  # of the design
 BASE_SETTINGS = {
     "me": 0,
     "zone": "z0",
@@ -49,54 +50,56 @@
 }
 DEFAULT_LIMITS = {"cores": 1.0, "memory_mb": 128, "sockets": 1024}
 
-METER_RESOLUTION_MS = 1.0  # what the meter tells; a loop that takes no longer steps is told as this
-# Looks each millisecond how late it is itself: by the longest step that the loop took meanwhile. The time for
-# which the process waited for a processor, as the kernel counts it, is the machine's and taken off. Appends
-# when, and by how much, where that is over METER_RESOLUTION_MS.
-METER = f"""
+METER_RESOLUTION_MS = 1.0  # shorter steps of the event loop are reported as this
+# Code that runs in the gateway's process. A timer of one millisecond is late by the longest step of the event
+# loop meanwhile; the time for which the process waited for a processor, as counted by the kernel, is
+# subtracted.
+# A line with the time and the lateness is written if that exceeds METER_RESOLUTION_MS.
+METER_CODE = f"""
 import asyncio, time
 from elderhub import __main__ as main
 TICK_S = 0.001
 serve = main.serve
-async def look(out, stat):
-    def moment():
+async def measure_steps(out, stat):
+    def running_time_s():
         stat.seek(0)
         return time.monotonic() - int(stat.read().split()[1]) / 1e9
-    before = moment()
+    before_s = running_time_s()
     while True:
         await asyncio.sleep(TICK_S)
-        late_s = moment() - before - TICK_S
+        late_s = running_time_s() - before_s - TICK_S
         if late_s > {METER_RESOLUTION_MS / 1000}:
             print(time.monotonic(), late_s, file=out, flush=True)
-        before = moment()
-async def metered(config):
+        before_s = running_time_s()
+async def serve_with_meter(config):
     task = asyncio.get_running_loop().create_task(
-        look(open(METER_FILE, "a"), open("/proc/self/schedstat")))
+        measure_steps(open(METER_FILE, "a"), open("/proc/self/schedstat")))
     try:
         await serve(config)
     finally:
         task.cancel()
-main.serve = metered
+main.serve = serve_with_meter
 """
 
 
 def fleet_settings(size: int) -> dict:
-    """Of one gateway of a fleet that is to `size` backends as the design's is to its 26,000."""
+    """Returns the settings of a gateway whose fleet has the design's ratio of gateways to `size` backends."""
     return {**BASE_SETTINGS, "instances": max(2, round(size / BACKENDS_PER_GATEWAY))}
 
 
 def free_port(host: str) -> int:
-    with socket.socket() as s:
-        s.bind((host, 0))
-        return s.getsockname()[1]
+    """Returns a TCP port that is free at present."""
+    with socket.socket() as probe:
+        probe.bind((host, 0))
+        return probe.getsockname()[1]
 
 
 class Program:
-    """One gateway, told `settings` and the ports of its discovery and counter.
+    """A gateway process with the given settings and the ports of its discovery and counter.
 
-    `known`: the parts of its last list's text. `metered`: it notes its longest steps. `patch`: statements
-    that are run before it starts. `host`: where it listens, at a port that was free. `limits`: as the
-    configuration has them.
+    `home` is the directory for its files. `known` has the parts of the text of its cached list. If `metered`,
+    it records the long steps of its event loop. `patch` has Python statements that run before it starts. It
+    listens at a free port of `host`. `limits` is the entry of that name in the configuration.
     """
 
     def __init__(
@@ -114,20 +117,23 @@
         self._counter, self._known, self._settings = counter, known, settings
         self._limits = limits
         self.address = host, free_port(host)
-        self._stem = home / "{}-{}".format(*self.address)
-        self._meter = self._file("steps")
-        self._code = f"METER_FILE = {str(self._meter)!r}\n{METER}\n" if metered else ""
+        self._path_stem = home / "{}-{}".format(*self.address)
+        self._meter_path = self._path("steps")
+        self._code = f"METER_FILE = {str(self._meter_path)!r}\n{METER_CODE}\n" if metered else ""
         self._code += patch
         self.write_config(discovery)
         self.process: asyncio.subprocess.Process | None = None
-        self.began = 0.0
+        self.started_s = 0.0
 
-    def _file(self, kind: str) -> Path:
-        return self._stem.with_name(f"{self._stem.name}.{kind}")
+    def _path(self, kind: str) -> Path:
+        return self._path_stem.with_name(f"{self._path_stem.name}.{kind}")
 
     def write_config(self, discovery: int) -> None:
-        """`known` is spliced in as text: a list of 100,000 entries is not parsed again here."""
-        raw = json.dumps(
+        """Writes the configuration file with a port of discovery.
+
+        The cached list is inserted as text, as parsing and encoding a list of 100,000 entries takes long.
+        """
+        config = json.dumps(
             {
                 "name": "n{}".format(self._settings["me"]),
                 "listen": "{}:{}".format(*self.address),
@@ -138,11 +144,12 @@
                 "settings": self._settings,
             }
         ).encode()
-        path = self._file("json")
-        path.write_bytes(raw[:-1] + b',"known":' + b"".join(self._known) + b"}")
-        self._config = path
+        path = self._path("json")
+        path.write_bytes(config[:-1] + b',"known":' + b"".join(self._known) + b"}")
+        self._config_path = path
 
     async def start(self) -> None:
+        """Starts the process, without waiting until it is ready."""
         command = ["-m", "elderhub"]
         if self._code:
             command = [
@@ -150,28 +157,32 @@
                 f"{self._code}\nimport sys\nfrom elderhub import __main__ as main\nsys.exit(main.main())",
             ]
         environ = {key: value for key, value in os.environ.items() if not key.startswith("NODE_")}
-        with open(self._file("log"), "ab") as log:
-            self.began = time.monotonic()
+        with open(self._path("log"), "ab") as log:
+            self.started_s = time.monotonic()
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 *command,
                 cwd=ROOT,
-                env=dict(environ, NODE_CONFIG=str(self._config)),
+                env=dict(environ, NODE_CONFIG=str(self._config_path)),
                 stdout=log,
                 stderr=log,
             )
 
-    async def wait_until_ready(self, within_s: float, given_up=lambda: False) -> float | None:
-        """Seconds from exec until /healthz answers 200; none where it never does."""
-        while time.monotonic() < self.began + within_s and not given_up():
+    async def wait_until_ready(self, within_s: float, should_stop=lambda: False) -> float | None:
+        """Returns the seconds from the start until /healthz answers 200, or None after `within_s` or if
+        `should_stop` returns true.
+
+        Raises RuntimeError if the process ends.
+        """
+        while time.monotonic() < self.started_s + within_s and not should_stop():
             if self.process.returncode is not None:
-                raise RuntimeError(f"a gateway ended with {self.process.returncode}: {self.log_tail()}")
-            if await self._healthy():
-                return time.monotonic() - self.began
-            await asyncio.sleep(POLL_S)
+                raise RuntimeError(f"the gateway exited with {self.process.returncode}: {self.log_tail()}")
+            if await self._is_ready():
+                return time.monotonic() - self.started_s
+            await asyncio.sleep(POLL_INTERVAL_S)
         return None
 
-    async def _healthy(self) -> bool:
+    async def _is_ready(self) -> bool:
         try:
             reader, writer = await asyncio.open_connection(*self.address)
         except ConnectionError:
@@ -185,34 +196,42 @@
             writer.close()
 
     def log_tail(self) -> str:
-        """The end of what it wrote."""
-        return self._file("log").read_text()[-2000:]
+        """Returns the end of the process's output."""
+        return self._path("log").read_text()[-2000:]
 
     def cpu_s(self) -> float:
-        """User and system time of all its threads so far: the kernel's clock of the process, whose id is
-        made as in clock_getcpuclockid(3). /proc/PID/stat holds the same in steps of 10 ms."""
+        """Returns the user and system time of the process so far, in seconds.
+
+        Reads the kernel's CPU clock of the process, with the clock id computed as in clock_getcpuclockid(3),
+        as /proc/PID/stat has a resolution of only 10 ms.
+        """
         return time.clock_gettime(~self.process.pid << 3 | 2)
 
     def memory_mb(self) -> tuple[float, float]:
-        """Resident now, and the most so far."""
+        """Returns the current and the peak resident memory in MiB."""
         text = Path(f"/proc/{self.process.pid}/status").read_text()
         kib = {line.split(":")[0]: line.split()[1] for line in text.splitlines() if line.startswith("Vm")}
         return int(kib["VmRSS"]) / 1024, int(kib["VmHWM"]) / 1024
 
-    def longest_step_ms(self, since: float, until: float) -> float:
-        """Of the loop, between two moments; METER_RESOLUTION_MS where all were shorter."""
-        longest = METER_RESOLUTION_MS
-        if self._meter.exists():
-            for line in self._meter.read_text().splitlines():
-                at, step_s = map(float, line.split())
-                if since <= at <= until:
-                    longest = max(longest, step_s * 1000.0)
-        return longest
+    def longest_step_ms(self, since_s: float, until_s: float) -> float:
+        """Returns the longest step of the event loop between two times of `time.monotonic`.
+
+        Returns METER_RESOLUTION_MS if all steps were shorter.
+        """
+        longest_ms = METER_RESOLUTION_MS
+        if self._meter_path.exists():
+            for line in self._meter_path.read_text().splitlines():
+                at_s, step_s = map(float, line.split())
+                if since_s <= at_s <= until_s:
+                    longest_ms = max(longest_ms, step_s * 1000.0)
+        return longest_ms
 
     def reload(self) -> None:
+        """Makes the process read its configuration file again (SIGHUP)."""
         self.process.send_signal(signal.SIGHUP)
 
     async def kill(self) -> None:
+        """Kills the process, unless it has ended, and waits for its end."""
         with contextlib.suppress(ProcessLookupError):
             self.process.kill()
         await self.process.wait()
--- a/scale/real.py
+++ b/scale/real.py
@@ -1,7 +1,8 @@
-"""The real tier: gateways as processes on loopback, and what hollow ones don't show.
+"""The real tier: gateways as processes on loopback, for figures that hollow gateways cannot show.
 
-Measures the stalls of the loop while lists come in, processor time, bytes and memory for control, the time to
-ready and the time until a change is in force, at several sizes of the list of backends.
+Measures stalls of the event loop while lists arrive, the processor time, bytes and memory that discovery and
+the counter take, the time to ready, and the time until a change is in force, for several sizes of the list of
+backends.
 """
 
 from __future__ import annotations
@@ -25,39 +26,46 @@
 from .standins import LOOPBACK_HOST, BackendList, Backends, Counter, DiscoveryAgent
 
 COMMAND = "python -m scale.real"
-REQUESTS_PER_S = 61.0  # of one gateway of the design at its peak: 190,000 over 3,100
-CHANGES_PER_S = 20.0  # while a flow of changes is measured
-LIST_EACH_S = 1.0  # whole lists come one after the other, but no faster than this
-CHANGES_A_DAY = 5900  # of the design
-WORST_MINUTE = 60  # changes in the day's worst minute: assumed, about 15 times the mean
-WAIT_LIMIT_S = 30.0  # for anything that is waited for: generous, as it only tells a hang
-IN_FORCE_S = 4.0  # a change of the design is by then; later, idle connections end for other reasons too
-CUSTOMERS_WITHIN_S = 50.0  # for the requests of all distinct customers
-AT_ONCE = 32  # of these requests
-QUIET, LISTS, CHANGES = "nothing comes", "whole lists come", "20 changes a second come"
+REQUESTS_PER_S = 61.0  # of one gateway of the design at its peak
+CHANGES_PER_S = 20.0
+LIST_INTERVAL_S = 1.0  # minimum time between two full lists
+CHANGES_PER_DAY = 5900  # of the design
+WORST_MINUTE_CHANGES = 60  # changes in the worst minute of a day
+WAIT_LIMIT_S = 30.0  # only reached if something hangs
+PROPAGATION_LIMIT_S = 4.0  # after this, idle connections may end for reasons other than a change
+CUSTOMERS_TIME_LIMIT_S = 50.0  # for the requests of all customers
+CONCURRENT_REQUESTS = 32  # of the customers' requests
+# Phases, as named in the figures.
+QUIET_PHASE, LISTS_PHASE, CHANGES_PHASE = "nothing comes", "whole lists come", "20 changes a second come"
 
 
 @dataclass(frozen=True, slots=True)
-class Spans:
-    """How much is measured: list sizes and customers; seconds of each phase with requests, at rest, and of
-    changes without requests; lists without requests; starts of each kind."""
+class Extent:
+    """The amount of measurements.
+
+    `sizes` are the sizes of the list of backends, `customers` the numbers of customers. `phase_s` is the
+    duration of each phase with requests, `rest_s` of the phase at rest and `changes_s` of the phase with
+    changes but without requests. `list_count` full lists are sent without requests, and each kind of start is
+    repeated `start_count` times.
+    """
 
     sizes: tuple[int, ...]
     customers: tuple[int, ...]
     phase_s: float
     rest_s: float
     changes_s: float
-    lists: int
-    starts: int
+    list_count: int
+    start_count: int
 
 
-FULL = Spans((200, 2000, 26000, 104000), (1000, 4000, 16000, 64000), 6.0, 4.0, 3.0, 3, 3)
-SHORT = Spans((50, 200), (100, 400), 0.6, 0.3, 0.3, 1, 1)
+FULL_EXTENT = Extent((200, 2000, 26000, 104000), (1000, 4000, 16000, 64000), 6.0, 4.0, 3.0, 3, 3)
+SHORT_EXTENT = Extent((50, 200), (100, 400), 0.6, 0.3, 0.3, 1, 1)
 
 
 @dataclass
-class Sheet:
-    """Figures as they come in: by name, each with unit, sizes, values, and where there is none, why."""
+class FigureCollector:
+    """Collects figures: by name, the unit, the values by size, and the reasons for missing or partial
+    values."""
 
     rows: dict[str, dict] = field(default_factory=dict)
 
@@ -71,22 +79,24 @@
         why: str = "",
         size_of: str = "backends",
     ) -> None:
+        """Adds the value of a figure at a size, or None with the reason why there is no value."""
         row = self.rows.setdefault(
-            name, {"unit": unit, "about": about, "size_of": size_of, "points": [], "lacks": []}
+            name, {"unit": unit, "about": about, "size_of": size_of, "points": [], "notes": []}
         )
         if value is not None:
             row["points"].append((float(size), float(value)))
         if why:
-            row["lacks"].append(f"at {size}: {why}")
+            row["notes"].append(f"at {size}: {why}")
 
     def figures(self) -> list[Figure]:
+        """Returns the collected figures in the order of their first values."""
         return [
             Figure(
                 name,
                 row["unit"],
                 row["size_of"],
                 tuple(row["points"]),
-                ". ".join([row["about"], *row["lacks"]]),
+                ". ".join([row["about"], *row["notes"]]),
                 COMMAND,
             )
             for name, row in self.rows.items()
@@ -94,18 +104,18 @@
 
 
 class Testbed:
-    """The stand-ins that all gateways of a run share, and a directory for their files."""
+    """The test servers that all gateways of a run share, and a directory for their files."""
 
     async def __aenter__(self) -> Testbed:
         self._home = tempfile.TemporaryDirectory()
         self.home = Path(self._home.name)
         self.backends, self.counter = await Backends().start(), await Counter().start()
-        self.straight = await Backends().start()  # asked by a client itself, and known to no gateway
+        self.direct_backends = await Backends().start()  # used by clients without a gateway
         return self
 
     async def __aexit__(self, *error: object) -> None:
         self.backends.close()
-        self.straight.close()
+        self.direct_backends.close()
         self.counter.close()
         self._home.cleanup()
 
@@ -117,7 +127,7 @@
         metered: bool = False,
         patch: str = "",
     ):
-        """A gateway from its start, which need not be ready yet, to its end."""
+        """Runs a gateway for the time of the context; it may not be ready yet when the context is entered."""
         program = Program(
             self.home,
             fleet_settings(agent.backend_list.size),
@@ -136,384 +146,436 @@
 
 async def send_full_lists(
     agents: list[DiscoveryAgent],
-    roster: BackendList,
+    backend_list: BackendList,
     count: int,
     within_s: float,
-    each_s: float = 0.0,
+    interval_s: float = 0.0,
 ) -> tuple[int, bool]:
-    """Whole lists to each agent's gateway, one after the other and `each_s` apart at least, until there were
-    `count` or the time is up.
+    """Sends full lists to each agent's gateway, at least `interval_s` apart, until `count` are sent or
+    `within_s` has passed.
 
-    A watch is ended and the one that follows begins with the whole list; the gateway is back only when it has
-    done with the list before. Returns the number of lists and whether all were taken.
+    Each list is sent at the start of a new watch, which a gateway opens only after it has applied the list
+    before. Returns the number of lists and whether all of them were accepted.
     """
     before = [agent.refused_lists for agent in agents]
-    start, sent = time.monotonic(), 0
+    start_s, sent = time.monotonic(), 0
     for agent in agents:
         agent.force_full_list = True
-    while sent < count and time.monotonic() < start + within_s:
-        due = time.monotonic() + each_s
-        roster.advance()
+    while sent < count and time.monotonic() < start_s + within_s:
+        due_s = time.monotonic() + interval_s
+        backend_list.advance()
         back = await asyncio.gather(*(agent.restart_watch(WAIT_LIMIT_S) for agent in agents))
         sent += 1
         if not all(back) or [agent.refused_lists for agent in agents] != before:
             break
-        await asyncio.sleep(due - time.monotonic())
+        await asyncio.sleep(due_s - time.monotonic())
     for agent in agents:
         agent.force_full_list = False
     back = await asyncio.gather(*(agent.restart_watch(WAIT_LIMIT_S) for agent in agents))
-    taken = all(back) and [agent.refused_lists for agent in agents] == before
-    return sent, taken and all(agent.resume_version == roster.generation for agent in agents)
+    accepted_all = all(back) and [agent.refused_lists for agent in agents] == before
+    return sent, accepted_all and all(agent.resume_version == backend_list.generation for agent in agents)
 
 
 class ChangeFeed:
-    """Entries that leave and come back in turn; notes how long a leave takes to be in force."""
+    """Sends changes of entries, which drain and come back in turn, and measures how long a drain takes to be
+    in force.
 
-    def __init__(self, site: Testbed, agents: list[DiscoveryAgent], roster: BackendList):
-        self._backends, self._agents, self._roster = site.backends, agents, roster
+    `propagation_ms` has the measured times; `timeouts` counts drains that were not in force in time.
+    """
+
+    def __init__(self, testbed: Testbed, agents: list[DiscoveryAgent], backend_list: BackendList):
+        self._backends, self._agents, self._backend_list = testbed.backends, agents, backend_list
         self.propagation_ms: list[float] = []
         self.timeouts = 0
 
-    def tell(self, entry: bytes) -> float:
-        self._roster.generation += 1
+    def publish(self, entry: bytes) -> float:
+        """Sends a change to all gateways; returns when the first agent sent it."""
+        self._backend_list.generation += 1
         return [agent.send_changes(entry) for agent in self._agents][0]
 
     async def run(self, seconds: float) -> int:
-        """Changes at CHANGES_PER_S, each leave followed by a return, of backends that were just used if any
-        was. Returns how many were told; fewer where leaves are long in coming into force."""
-        start, step = time.monotonic(), 0
-        while time.monotonic() < start + seconds:
-            gone = (
+        """Sends changes at CHANGES_PER_S, and returns their number.
+
+        Each backend drains and comes back; the most recently used one is chosen if it still has connections.
+        There are fewer changes if drains take long to be in force.
+        """
+        start_s, step = time.monotonic(), 0
+        while time.monotonic() < start_s + seconds:
+            number = (
                 self._backends.last_reached
                 if self._backends.last_reached in self._backends.open_connections
                 else step
             )
-            gone %= self._roster.size
-            await self.leave(gone)
+            number %= self._backend_list.size
+            await self.drain(number)
             for _ in range(2):
                 step += 1
-                await asyncio.sleep(max(0.0, start + step / CHANGES_PER_S - time.monotonic()))
+                await asyncio.sleep(max(0.0, start_s + step / CHANGES_PER_S - time.monotonic()))
                 if step % 2:
-                    self.tell(self._roster.entry(gone))
+                    self.publish(self._backend_list.entry(number))
         return step
 
-    async def leave(self, number: int) -> None:
-        """A backend is told as leaving. That is in force once the gateway has ended the connections that it
-        kept to it, and no request has come since."""
-        kept = number in self._backends.open_connections
-        over = asyncio.Event()
-        self._backends.on_last_closed = lambda which: over.set() if which == number else None
-        at = self.tell(self._roster.entry(number, "Terminating"))
-        if kept:
-            took = await until_gone(self._backends, number, at, over)
-            self.timeouts += took is None
-            if took is not None:
-                self.propagation_ms.append(took * 1000.0)
+    async def drain(self, number: int) -> None:
+        """Announces that a backend drains.
+
+        This is in force when the gateway has closed its idle connections to it and sends no more requests.
+        """
+        has_connections = number in self._backends.open_connections
+        connections_closed = asyncio.Event()
+        self._backends.on_last_closed = lambda which: connections_closed.set() if which == number else None
+        told_s = self.publish(self._backend_list.entry(number, "Terminating"))
+        if has_connections:
+            elapsed_s = await wait_until_unused(self._backends, number, told_s, connections_closed)
+            self.timeouts += elapsed_s is None
+            if elapsed_s is not None:
+                self.propagation_ms.append(elapsed_s * 1000.0)
         self._backends.on_last_closed = None
 
 
-async def until_gone(backends: Backends, number: int, since: float, over: asyncio.Event) -> float | None:
-    """Seconds until nothing leads to a backend any more: its connections have ended, and the last request has
-    reached it; none where that takes longer than IN_FORCE_S."""
+async def wait_until_unused(
+    backends: Backends, number: int, since_s: float, connections_closed: asyncio.Event
+) -> float | None:
+    """Returns the seconds from `since_s` until the last connection to a backend has ended and the last
+    request has reached it, or None if that takes longer than PROPAGATION_LIMIT_S."""
     try:
-        await asyncio.wait_for(over.wait(), IN_FORCE_S)
+        await asyncio.wait_for(connections_closed.wait(), PROPAGATION_LIMIT_S)
     except TimeoutError:
         return None
-    return max(backends.closed_at[number], backends.reached_at.get(number, 0.0)) - since
+    return max(backends.closed_at[number], backends.reached_at.get(number, 0.0)) - since_s
 
 
-class AtSize:
-    """All that is measured with a list of one size."""
+class SizeMeasurement:
+    """The measurements with one size of the list of backends."""
 
-    def __init__(self, site: Testbed, size: int, spans: Spans, sheet: Sheet, note: Callable[[str], None]):
-        self._site, self._size, self._spans = site, size, spans
-        self._put, self._note = sheet.put, lambda text: note(f"{size} backends: {text}")
-        self._roster = BackendList(size, site.backends.port)
-        self._rest_ms_per_s = 0.0  # processor time of a gateway to which nothing comes
+    def __init__(
+        self,
+        testbed: Testbed,
+        size: int,
+        extent: Extent,
+        collector: FigureCollector,
+        progress: Callable[[str], None],
+    ):
+        self._testbed, self._size, self._extent = testbed, size, extent
+        self._put, self._progress = collector.put, lambda text: progress(f"{size} backends: {text}")
+        self._backend_list = BackendList(size, testbed.backends.port)
+        self._rest_ms_per_s = 0.0  # processor time of a gateway at rest
 
     def put(self, name: str, unit: str, about: str, value: float | None, why: str = "") -> None:
+        """Adds the value of a figure at this size, or None with the reason why there is no value."""
         self._put(name, unit, about, self._size, value, why)
 
     async def run(self) -> None:
-        agents = [await DiscoveryAgent(self._roster).start(), await DiscoveryAgent(self._roster).start()]
-        known = self._roster.full_list()
+        """Runs all measurements."""
+        agents = [
+            await DiscoveryAgent(self._backend_list).start(),
+            await DiscoveryAgent(self._backend_list).start(),
+        ]
+        known = self._backend_list.full_list()
         try:
-            self._note("start from the known list")
-            async with self._site.gateway(agents[0], known) as plain:
+            self._progress("start from the known list")
+            async with self._testbed.gateway(agents[0], known) as plain:
                 await plain.wait_until_ready(WAIT_LIMIT_S)
                 self.put("resident memory, list known", "MiB", "VmRSS, just ready", plain.memory_mb()[0])
-                await self._control(plain, agents[0])
-                async with self._site.gateway(agents[1], known, metered=True) as metered:
+                await self._measure_control(plain, agents[0])
+                async with self._testbed.gateway(agents[1], known, metered=True) as metered:
                     await metered.wait_until_ready(WAIT_LIMIT_S)
-                    await self._stalls(plain, metered, agents)
-                await self._moved(plain)
+                    await self._measure_stalls(plain, metered, agents)
+                await self._measure_reload(plain)
         finally:
             for agent in agents:
                 agent.close()
-        await self._starts(known)
+        await self._measure_starts(known)
 
     # Processor time and bytes, without requests.
 
-    async def _control(self, program: Program, agent: DiscoveryAgent) -> None:
-        self._note("at rest, changes and lists without requests")
-        spans, counter = self._spans, self._site.counter
+    async def _measure_control(self, program: Program, agent: DiscoveryAgent) -> None:
+        self._progress("at rest, changes and lists without requests")
+        extent, counter = self._extent, self._testbed.counter
 
-        async def spent(work) -> tuple[float, float, int, object]:
-            """Seconds, processor time in ms, bytes, and what `work` returned."""
-            began, cpu, sent = time.monotonic(), program.cpu_s(), agent.payload_bytes + counter.payload_bytes
-            outcome = await work
+        async def measure_cost(work) -> tuple[float, float, int, object]:
+            """Returns the elapsed seconds, processor time in ms, bytes, and the result of `work`."""
+            start_s, cpu_s, start_bytes = (
+                time.monotonic(),
+                program.cpu_s(),
+                agent.payload_bytes + counter.payload_bytes,
+            )
+            result = await work
             return (
-                time.monotonic() - began,
-                (program.cpu_s() - cpu) * 1000.0,
-                agent.payload_bytes + counter.payload_bytes - sent,
-                outcome,
+                time.monotonic() - start_s,
+                (program.cpu_s() - cpu_s) * 1000.0,
+                agent.payload_bytes + counter.payload_bytes - start_bytes,
+                result,
             )
 
-        rest_s, rest_ms, rest_bytes, _ = await spent(asyncio.sleep(spans.rest_s))
-        per_s, bytes_per_s = rest_ms / rest_s, rest_bytes / rest_s
-        self._rest_ms_per_s = per_s
-        self.put("processor time at rest", "ms/s", "Heartbeats of discovery and the counter alone", per_s)
-        self.put("bytes at rest", "B/s", "Payload both ways, discovery and counter, no requests", bytes_per_s)
-        took_s, ms, size, told = await spent(
-            ChangeFeed(self._site, [agent], self._roster).run(spans.changes_s)
+        rest_s, rest_ms, rest_bytes, _ = await measure_cost(asyncio.sleep(extent.rest_s))
+        rest_ms_per_s, bytes_per_s = rest_ms / rest_s, rest_bytes / rest_s
+        self._rest_ms_per_s = rest_ms_per_s
+        self.put(
+            "processor time at rest", "ms/s", "Only heartbeats of discovery and the counter", rest_ms_per_s
         )
-        change_ms = max(0.0, ms - per_s * took_s) / told
+        self.put(
+            "bytes at rest",
+            "B/s",
+            "Payload in both directions of discovery and the counter, without requests",
+            bytes_per_s,
+        )
+        elapsed_s, cpu_ms, size, change_count = await measure_cost(
+            ChangeFeed(self._testbed, [agent], self._backend_list).run(extent.changes_s)
+        )
+        change_ms = max(0.0, cpu_ms - rest_ms_per_s * elapsed_s) / change_count
         self.put(
             "processor time for a change",
             "ms",
-            f"Of one entry, over that at rest; at {CHANGES_PER_S:.0f}/s without requests",
+            f"For a change of one entry, less that at rest; at {CHANGES_PER_S:.0f}/s without requests",
             change_ms,
         )
         self.put(
             "bytes of a change",
             "B",
-            "Payload, over that at rest",
-            max(0.0, size - bytes_per_s * took_s) / told,
+            "Payload, less that at rest",
+            max(0.0, size - bytes_per_s * elapsed_s) / change_count,
         )
         for name, rate, how in (
-            ("a day's mean", CHANGES_A_DAY / 86400, f"{CHANGES_A_DAY} changes a day"),
-            ("the worst minute", WORST_MINUTE / 60, f"{WORST_MINUTE} changes in a minute (assumed)"),
+            ("a day's mean", CHANGES_PER_DAY / 86400, f"{CHANGES_PER_DAY} changes a day"),
+            (
+                "the worst minute",
+                WORST_MINUTE_CHANGES / 60,
+                f"{WORST_MINUTE_CHANGES} changes in a minute (assumed)",
+            ),
         ):
             self.put(
                 f"processor time for control, {name}",
                 "% of a core",
-                f"At rest and {how}: worked out from the two above",
-                (per_s + rate * change_ms) / 10,
+                f"At rest and {how}: calculated from the two figures above",
+                (rest_ms_per_s + rate * change_ms) / 10,
             )
-        self._roster.prepare_lists(spans.lists)
-        took_s, ms, size, (sent, taken) = await spent(
-            send_full_lists([agent], self._roster, spans.lists, WAIT_LIMIT_S)
+        self._backend_list.prepare_lists(extent.list_count)
+        elapsed_s, cpu_ms, size, (sent, accepted_all) = await measure_cost(
+            send_full_lists([agent], self._backend_list, extent.list_count, WAIT_LIMIT_S)
         )
-        refused = "" if taken else "a whole list is refused"
+        refused = "" if accepted_all else "a whole list is refused"
         self.put(
             "processor time for a whole list",
             "ms",
-            "Over that at rest, without requests; one entry in a hundred has started anew in each",
-            max(0.0, ms - per_s * took_s) / sent if taken else None,
+            "Less that at rest, without requests; one entry in a hundred has a new start time in each list",
+            max(0.0, cpu_ms - rest_ms_per_s * elapsed_s) / sent if accepted_all else None,
             refused,
         )
         self.put(
             "bytes of a whole list",
             "B",
-            "Payload, with its watch",
-            size / sent if taken else sum(map(len, self._roster.full_list())),
-            refused and f"{refused}, the bytes are its own",
+            "Payload, including the watch",
+            size / sent if accepted_all else sum(map(len, self._backend_list.full_list())),
+            refused and f"{refused}, the value is the size of the list itself",
         )
         self.put(
             "resident memory, most while whole lists come",
             "MiB",
             "VmHWM after them",
-            program.memory_mb()[1] if taken else None,
+            program.memory_mb()[1] if accepted_all else None,
             refused,
         )
 
     # Stalls, with requests.
 
-    async def _stalls(self, plain: Program, metered: Program, agents: list[DiscoveryAgent]) -> None:
-        seconds, roster, backends = self._spans.phase_s, self._roster, self._site.backends
-        client, straight = Client(plain.address), Client((LOOPBACK_HOST, self._site.straight.port))
-        changes = ChangeFeed(self._site, agents, roster)
+    async def _measure_stalls(self, plain: Program, metered: Program, agents: list[DiscoveryAgent]) -> None:
+        seconds, backend_list, backends = self._extent.phase_s, self._backend_list, self._testbed.backends
+        client, direct_client = (
+            Client(plain.address),
+            Client((LOOPBACK_HOST, self._testbed.direct_backends.port)),
+        )
+        changes = ChangeFeed(self._testbed, agents, backend_list)
 
         async def measure(phase: str, work) -> None:
-            self._note(f"requests while {phase}")
+            self._progress(f"requests while {phase}")
             gc.collect()
-            since = time.monotonic()
+            since_s = time.monotonic()
             task = asyncio.create_task(work)
-            answers, bare = await asyncio.gather(
+            answers, direct_answers = await asyncio.gather(
                 client.run_open_loop(REQUESTS_PER_S, seconds),
-                straight.run_open_loop(REQUESTS_PER_S, seconds, start_delay_s=0.5 / REQUESTS_PER_S),
+                direct_client.run_open_loop(REQUESTS_PER_S, seconds, start_delay_s=0.5 / REQUESTS_PER_S),
             )
-            outcome = await task
-            refused = "a whole list is refused" if outcome is False else ""
-            self._put_added(phase, answers, bare, refused)
+            result = await task
+            refused = "a whole list is refused" if result is False else ""
+            self._put_added(phase, answers, direct_answers, refused)
             self.put(
                 f"longest step of the loop, {phase}",
                 "ms",
-                "How late a timer of 1 ms is, less what the process waited for a processor, inside a "
-                "second gateway that gets the lists and changes but no requests; "
-                f"{METER_RESOLUTION_MS} is that or less",
-                None if refused else metered.longest_step_ms(since, time.monotonic()),
+                "Lateness of a timer of 1 ms, less the time for which the process waited for a processor, in a "
+                "second gateway that receives the lists and changes but no requests; "
+                f"{METER_RESOLUTION_MS} means that or less",
+                None if refused else metered.longest_step_ms(since_s, time.monotonic()),
                 refused,
             )
 
-        async def flow_of_lists() -> bool:
-            return (await send_full_lists(agents, roster, most, seconds, LIST_EACH_S))[1]
+        async def send_lists() -> bool:
+            return (await send_full_lists(agents, backend_list, max_lists, seconds, LIST_INTERVAL_S))[1]
 
-        most = int(seconds / LIST_EACH_S) + 1
-        await measure(CHANGES, changes.run(seconds))
-        roster.prepare_lists(most)
-        await measure(LISTS, flow_of_lists())
+        max_lists = int(seconds / LIST_INTERVAL_S) + 1
+        await measure(CHANGES_PHASE, changes.run(seconds))
+        backend_list.prepare_lists(max_lists)
+        await measure(LISTS_PHASE, send_lists())
         accepted, requests = backends.accepted, backends.requests
-        since, cpu_s = time.monotonic(), plain.cpu_s()
-        await measure(QUIET, asyncio.sleep(seconds))
-        spent_ms = (plain.cpu_s() - cpu_s) * 1000.0 - self._rest_ms_per_s * (time.monotonic() - since)
+        since_s, cpu_s = time.monotonic(), plain.cpu_s()
+        await measure(QUIET_PHASE, asyncio.sleep(seconds))
+        spent_ms = (plain.cpu_s() - cpu_s) * 1000.0 - self._rest_ms_per_s * (time.monotonic() - since_s)
         self.put(
             "processor time for a request",
             "ms",
-            f"Of the gateway, over that at rest; nothing else comes, {REQUESTS_PER_S:.0f} requests/s",
+            f"Of the gateway, less that at rest; {REQUESTS_PER_S:.0f} requests/s and no changes",
             spent_ms / max(1, backends.requests - requests),
         )
         client.close()
-        straight.close()
+        direct_client.close()
         self.put(
             "new connections a request",
             "1",
             "Accepted by the backends, at "
-            f"{REQUESTS_PER_S:.0f} requests/s and after {2 * seconds:.0f} s of them",
+            f"{REQUESTS_PER_S:.0f} requests/s, after {2 * seconds:.0f} s at this rate",
             (backends.accepted - accepted) / max(1, backends.requests - requests),
         )
-        force = changes.propagation_ms
-        never = f"{changes.timeouts} not in force within {IN_FORCE_S:.0f} s" if changes.timeouts else ""
+        propagation_ms = changes.propagation_ms
+        timeout_note = (
+            f"{changes.timeouts} not in force within {PROPAGATION_LIMIT_S:.0f} s" if changes.timeouts else ""
+        )
         about = (
-            "From the agent's write of a leave until the gateway has ended its connection there and the "
-            "last request has come"
+            "From when the agent announces that a backend drains until the gateway has closed its connections "
+            "to it and the last request has arrived"
         )
         self.put(
             "time until a change is in force, median",
             "ms",
             about,
-            float(np.median(force)) if force else None,
-            never,
+            float(np.median(propagation_ms)) if propagation_ms else None,
+            timeout_note,
         )
         self.put(
             "time until a change is in force, most",
             "ms",
-            f"{about}; of {len(force)}",
-            max(force, default=None),
-            never,
+            f"{about}; of {len(propagation_ms)}",
+            max(propagation_ms, default=None),
+            timeout_note,
         )
 
-    def _put_added(self, phase: str, answers: Answers, bare: Answers, refused: str) -> None:
-        straight_ms = float(np.median(bare.latencies_ms))
-        for what, share in (("median", 50), ("99th percentile", 99), ("most", 100)):
+    def _put_added(self, phase: str, answers: Answers, direct_answers: Answers, refused: str) -> None:
+        direct_ms = float(np.median(direct_answers.latencies_ms))
+        for statistic, share in (("median", 50), ("99th percentile", 99), ("most", 100)):
             self.put(
-                f"added time, {phase}: {what}",
+                f"added time, {phase}: {statistic}",
                 "ms",
-                f"From when a request was due, each 1/{REQUESTS_PER_S:.0f} s, to its answer's last "
-                "byte, less the median of the same client's requests straight to a backend, over kept "
-                "connections and half-way between; the backends answer at once",
-                None if refused else float(np.percentile(answers.latencies_ms, share)) - straight_ms,
+                f"From when a request is due, every 1/{REQUESTS_PER_S:.0f} s, to the last byte of its "
+                "response, less the median of requests sent straight to a backend, over kept connections and "
+                "half-way between the others; the backends respond at once",
+                None if refused else float(np.percentile(answers.latencies_ms, share)) - direct_ms,
                 refused or answers.describe_unserved(),
             )
-        for what, share in (("median", 50), ("99th percentile", 99)):
+        for statistic, share in (("median", 50), ("99th percentile", 99)):
             self.put(
-                f"straight to a backend, {phase}: {what}",
+                f"straight to a backend, {phase}: {statistic}",
                 "ms",
-                "No gateway: what the rig, the loopback and the machine take themselves",
-                float(np.percentile(bare.latencies_ms, share)),
-                bare.describe_unserved(),
+                "Without a gateway: the time that the rig, the loopback and the machine take",
+                float(np.percentile(direct_answers.latencies_ms, share)),
+                direct_answers.describe_unserved(),
             )
         self.put(
             f"the rig's own lateness, {phase}: 99th percentile",
             "ms",
-            "Of sending a request, as where the machine is busy; it is part of the added times",
+            "Of sending requests, for instance if the machine is busy; included in the added times",
             float(np.percentile(answers.send_delays_ms, 99)),
         )
 
-    # SIGHUP, starts.
+    # Reload on SIGHUP, and starts.
 
-    async def _moved(self, program: Program) -> None:
-        self._note("SIGHUP with a new address of discovery")
-        backends, client = self._site.backends, Client(program.address)
+    async def _measure_reload(self, program: Program) -> None:
+        self._progress("SIGHUP with a new address of discovery")
+        backends, client = self._testbed.backends, Client(program.address)
         await client.run_open_loop(REQUESTS_PER_S, 0.2)
         client.close()
-        number, over = backends.last_reached, asyncio.Event()
-        self._roster.replace(number, self._roster.entry(number, "Terminating"))
-        there = await DiscoveryAgent(self._roster).start()
-        program.write_config(there.port)
-        backends.on_last_closed = lambda which: over.set() if which == number else None
-        at = time.monotonic()
+        number, connections_closed = backends.last_reached, asyncio.Event()
+        self._backend_list.replace(number, self._backend_list.entry(number, "Terminating"))
+        new_agent = await DiscoveryAgent(self._backend_list).start()
+        program.write_config(new_agent.port)
+        backends.on_last_closed = lambda which: connections_closed.set() if which == number else None
+        reload_s = time.monotonic()
         program.reload()
-        watch = asyncio.create_task(there.wait_for_watch(WAIT_LIMIT_S))
-        took = await until_gone(backends, number, at, over)
+        watch = asyncio.create_task(new_agent.wait_for_watch(WAIT_LIMIT_S))
+        elapsed_s = await wait_until_unused(backends, number, reload_s, connections_closed)
         backends.on_last_closed = None
         opened = await watch
-        there.close()
+        new_agent.close()
         if not opened:
-            took = None
-        why = "the whole list there is refused" if there.refused_lists else f"not within {IN_FORCE_S:.0f} s"
+            elapsed_s = None
+        why = (
+            "the whole list there is refused"
+            if new_agent.refused_lists
+            else f"not within {PROPAGATION_LIMIT_S:.0f} s"
+        )
         self.put(
             "time until a new address of discovery is in force",
             "s",
-            "From SIGHUP until a leave that only the list there tells is in force",
-            took,
-            why if took is None else "",
+            "From SIGHUP until the drain of a backend, which only the new agent's list has, is in force",
+            elapsed_s,
+            why if elapsed_s is None else "",
         )
 
-    async def _starts(self, known: tuple[bytes, ...]) -> None:
-        for name, known_too, mute, how in (
-            ("list known", True, False, "the list in its file and an agent with nothing new"),
-            ("nothing known", False, False, "the whole list from discovery"),
-            ("discovery silent", True, True, "the list in its file and an agent that says nothing"),
+    async def _measure_starts(self, known: tuple[bytes, ...]) -> None:
+        for name, with_known_list, is_silent, how in (
+            ("list known", True, False, "the list in its file and an agent without changes"),
+            ("nothing known", False, False, "the full list from discovery"),
+            ("discovery silent", True, True, "the list in its file and an agent that does not respond"),
         ):
-            self._note(f"starts, {name}")
-            took = []
-            for _ in range(self._spans.starts):
-                agent = await DiscoveryAgent(self._roster).start()
-                agent.is_silent = mute
-                async with self._site.gateway(agent, *([known] if known_too else [])) as program:
-                    took.append(
+            self._progress(f"starts, {name}")
+            times_s = []
+            for _ in range(self._extent.start_count):
+                agent = await DiscoveryAgent(self._backend_list).start()
+                agent.is_silent = is_silent
+                async with self._testbed.gateway(agent, *([known] if with_known_list else [])) as program:
+                    times_s.append(
                         await program.wait_until_ready(
                             WAIT_LIMIT_S, lambda agent=agent: agent.refused_lists > 0
                         )
                     )
                 agent.close()
-                if took[-1] is None:
+                if times_s[-1] is None:
                     break
             why = "the whole list is refused" if agent.refused_lists else "never ready"
             self.put(
                 f"time to ready, {name}",
                 "s",
-                f"From exec to 200 on /healthz, with {how}; median of {self._spans.starts}",
-                None if None in took else float(np.median(took)),
-                why if None in took else "",
+                f"From exec to 200 on /healthz, with {how}; median of {self._extent.start_count}",
+                None if None in times_s else float(np.median(times_s)),
+                why if None in times_s else "",
             )
 
 
-async def customers_seen(site: Testbed, spans: Spans, sheet: Sheet, note: Callable[[str], None]) -> None:
-    """Resident memory as more and more customers are seen by one gateway."""
-    roster = BackendList(spans.sizes[0], site.backends.port)
-    agent = await DiscoveryAgent(roster).start()
-    async with site.gateway(agent, roster.full_list()) as program:
+async def measure_customer_memory(
+    testbed: Testbed, extent: Extent, collector: FigureCollector, progress: Callable[[str], None]
+) -> None:
+    """Measures the resident memory of a gateway by the number of customers seen."""
+    backend_list = BackendList(extent.sizes[0], testbed.backends.port)
+    agent = await DiscoveryAgent(backend_list).start()
+    async with testbed.gateway(agent, backend_list.full_list()) as program:
         await program.wait_until_ready(WAIT_LIMIT_S)
         client = Client(program.address)
         await client.run_open_loop(REQUESTS_PER_S, 0.5)
-        before, seen, limit = program.memory_mb()[0], 0, time.monotonic() + CUSTOMERS_WITHIN_S
-        for count in spans.customers:
-            note(f"requests of {count} customers")
-            left_s = limit - time.monotonic()
-            answers = await client.run_closed_loop(seen, count - seen, "thin", AT_ONCE, max(0.0, left_s))
+        before_mb, seen, limit_s = program.memory_mb()[0], 0, time.monotonic() + CUSTOMERS_TIME_LIMIT_S
+        for count in extent.customers:
+            progress(f"requests of {count} customers")
+            left_s = limit_s - time.monotonic()
+            answers = await client.run_closed_loop(
+                seen, count - seen, "thin", CONCURRENT_REQUESTS, max(0.0, left_s)
+            )
             seen += len(answers.latencies_ms)
             why = answers.describe_unserved()
             if seen < count:
-                why = f"only {seen} in {CUSTOMERS_WITHIN_S:.0f} s"
-            sheet.put(
+                why = f"only {seen} in {CUSTOMERS_TIME_LIMIT_S:.0f} s"
+            collector.put(
                 "memory of customers seen",
                 "MiB",
-                "VmRSS over that before, one request of each on a "
-                f"plan with a small quota; {roster.size} backends",
+                "Increase of VmRSS after one request of each on a "
+                f"plan with a small quota; {backend_list.size} backends",
                 count,
-                program.memory_mb()[0] - before if seen >= count else None,
+                program.memory_mb()[0] - before_mb if seen >= count else None,
                 why,
                 "customers",
             )
@@ -523,27 +585,31 @@
     agent.close()
 
 
-async def measure(spans: Spans, note: Callable[[str], None]) -> list[Figure]:
-    sheet = Sheet()
-    gc.disable()  # a pass over the lists would look like a stall of the gateway's; it is made between phases
+async def measure_all(extent: Extent, progress: Callable[[str], None]) -> list[Figure]:
+    """Runs all measurements and returns the figures."""
+    collector = FigureCollector()
+    gc.disable()  # collections would look like stalls of the gateway; they are run between the phases
     try:
-        async with Testbed() as site:
-            for size in spans.sizes:
-                await AtSize(site, size, spans, sheet, note).run()
+        async with Testbed() as testbed:
+            for size in extent.sizes:
+                await SizeMeasurement(testbed, size, extent, collector, progress).run()
                 gc.collect()
-            await customers_seen(site, spans, sheet, note)
+            await measure_customer_memory(testbed, extent, collector, progress)
     finally:
         gc.enable()
-    return sheet.figures()
+    return collector.figures()
 
 
 def measure_figures(short: bool, progress: Callable[[str], None]) -> list[Figure]:
-    """Every figure of this tier: with small lists in under 15 s where `short`, else in under four minutes."""
-    return uvloop.run(measure(SHORT if short else FULL, progress))
+    """Returns all figures of this tier; takes up to 15 s if `short`, else up to four minutes.
+
+    `progress` receives a line of text before each measurement.
+    """
+    return uvloop.run(measure_all(SHORT_EXTENT if short else FULL_EXTENT, progress))
 
 
 @click.command(help=__doc__)
-@click.option("--short", is_flag=True, help="Small lists, a few seconds.")
+@click.option("--short", is_flag=True, help="Use small lists and short measurements.")
 def main(short: bool) -> None:
     for figure in measure_figures(short, lambda text: click.echo(text, err=True)):
         record = figure.to_dict()
--- a/scale/standins.py
+++ b/scale/standins.py
@@ -1,7 +1,7 @@
-"""Stand-ins on loopback for what a real gateway talks to: discovery's agent, a counter and the backends.
+"""Test servers on loopback for a real gateway: the discovery agent, the counter service and the backends.
 
-All run on the caller's loop and answer at once. Times are of `time.monotonic`, in seconds: the loop's own
-clock stands still between its turns.
+All run on the caller's event loop and respond at once except where noted. Times are in seconds of
+`time.monotonic`, as the clock of the event loop does not advance during a step.
 """
 
 from __future__ import annotations
@@ -15,38 +15,40 @@
 from collections.abc import Callable
 
 LOOPBACK_HOST = "127.0.0.1"
-FIRST_HOST = 127 << 24 | 16 << 16  # 127.16.0.0: entry n of a list listens at the n-th address from here
-ZONES = 16  # of the design, round and round over the list
-PIECE_BYTES = 64 * 1024  # of a list, written at a time: the loop has other work to do meanwhile
-HEARTBEAT_S = 2.0  # an empty line comes so often as long as nothing changes
-DEFAULT_STARTED_MS = 1_764_000_000_000  # the last start of a backend that has been up for long, in Unix time
-RESTARTED_SHARE = 0.01  # of the entries, that another whole list shows as started anew
-HEARTBEAT = b"1\r\n\n\r\n"
-AFTER = re.compile(rb"after=(\d+)")
-ENDS = (ConnectionError, asyncio.IncompleteReadError)
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbeds"
+FIRST_ADDRESS = 127 << 24 | 16 << 16  # 127.16.0.0; entry n of a list listens at the n-th address from here
+ZONE_COUNT = 16  # assigned in turn to the entries of the list
+CHUNK_BYTES = 64 * 1024  # chunk size of a list, which lets the event loop do other work between chunks
+HEARTBEAT_INTERVAL_S = 2.0  # between the empty lines that keep a watch alive
+DEFAULT_STARTED_MS = 1_764_000_000_000  # start time of a backend that has been up for long, in Unix time
+RESTARTED_SHARE = 0.01  # share of the entries with a new start time in each further full list
+HEARTBEAT_CHUNK = b"1\r\n\n\r\n"
+AFTER_PARAMETER = re.compile(rb"after=(\d+)")
+CONNECTION_ERRORS = (ConnectionError, asyncio.IncompleteReadError)
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbeds"
 
 
 class BackendList:
-    """A list of `size` backends, as discovery writes it. Each listens at `port` of an address of its own."""
+    """A list of `size` backends as discovery sends it. Each backend listens at `port` of its own address."""
 
     def __init__(self, size: int, port: int):
         self.size, self.generation, self._port = size, 1, port
-        self._lines = [self.entry(i) for i in range(size)]
-        self._bodies = [b",".join(self._lines)]
+        self._entries = [self.entry(i) for i in range(size)]
+        self._bodies = [b",".join(self._entries)]
 
     @staticmethod
     def host(number: int) -> str:
-        return socket.inet_ntoa((FIRST_HOST + number).to_bytes(4))
+        """Returns the IP address of a backend."""
+        return socket.inet_ntoa((FIRST_ADDRESS + number).to_bytes(4))
 
     def entry(self, number: int, lifecycle: str = "Ready", started_ms: int = DEFAULT_STARTED_MS) -> bytes:
+        """Returns the JSON text of a backend's entry."""
         return json.dumps(
             {
                 "instanceId": f"s-{number:08x}",
                 "hostPort": f"{self.host(number)}:{self._port}",
-                "zone": f"z{number % ZONES}",
+                "zone": f"z{number % ZONE_COUNT}",
                 "machineType": "m1",
-                "cell": number // ZONES,
+                "cell": number // ZONE_COUNT,
                 "lifecycle": lifecycle,
                 "weight": 1.0,
                 "startedAtMs": started_ms,
@@ -55,50 +57,54 @@
         ).encode()
 
     def prepare_lists(self, count: int) -> None:
-        """Make the text of the next whole lists ahead of time, each with some entries that started anew."""
-        lines = self._lines
-        for k in range(count):
-            for number in range(k, self.size, max(1, int(1 / RESTARTED_SHARE))):
+        """Encodes the next full lists in advance, each with some restarted backends."""
+        lines = self._entries
+        for offset in range(count):
+            for number in range(offset, self.size, max(1, int(1 / RESTARTED_SHARE))):
                 lines[number] = self.entry(number, started_ms=int(time.time() * 1000))
             self._bodies.append(b",".join(lines))
 
     def advance(self) -> None:
-        """The next whole list is discovery's from here on."""
+        """Switches to the next full list, with a new generation."""
         self.generation += 1
         if len(self._bodies) > 1:
             self._bodies.pop(0)
 
     def replace(self, number: int, entry: bytes) -> None:
-        """Another whole list, with this one entry changed, is discovery's from here on."""
-        self._lines[number] = entry
+        """Switches to a full list with one entry changed, with a new generation."""
+        self._entries[number] = entry
         self.generation += 1
-        self._bodies = [b",".join(self._lines)]
+        self._bodies = [b",".join(self._entries)]
 
     def full_list(self) -> tuple[bytes, bytes, bytes]:
-        """The list as the parts of one line, without its end: large, and so not joined."""
+        """Returns the full list as parts of one line, without a newline; they are not joined as they are
+        large."""
         return b'{"generation":%d,"reset":true,"instances":[' % self.generation, self._bodies[0], b"]}"
 
     def encode_changes(self, *entries: bytes) -> bytes:
+        """Returns a line with changes of these entries, without a newline."""
         return b'{"generation":%d,"reset":false,"instances":[%b]}' % (self.generation, b",".join(entries))
 
 
 class DiscoveryAgent:
-    """Discovery's agent on one gateway's machine."""
-
-    def __init__(self, roster: BackendList):
-        self.backend_list = roster
-        self.is_silent = False  # discovery is down: watches are taken and nothing is said
-        self.force_full_list = False  # every watch begins with the whole list
-        self.refused_lists = 0  # watches that the gateway ended after a whole list had begun
-        self.resume_version = 0  # the version that the last watch named
-        self.payload_bytes = 0  # of payload, both ways
+    """The discovery agent of one gateway, which serves a list of backends to its watch."""
+
+    def __init__(self, backend_list: BackendList):
+        self.backend_list = backend_list
+        self.is_silent = False  # accept watches but send nothing, as if discovery were down
+        self.force_full_list = False  # begin every watch with the full list
+        self.refused_lists = 0  # watches that the gateway ended after a full list had begun
+        self.resume_version = 0  # generation named by the last watch
+        self.payload_bytes = 0  # sent and received
         self._writer: asyncio.StreamWriter | None = None  # of the last watch
-        self._opened = asyncio.Event()
-        self._writing = asyncio.Lock()  # a list: nothing else may be written in its middle
+        self._watch_opened = asyncio.Event()
+        # Held while a list is written, so that nothing is written in between.
+        self._write_lock = asyncio.Lock()
         self._server: asyncio.Server | None = None
         self.port = 0
 
     async def start(self) -> DiscoveryAgent:
+        """Starts to listen and returns the agent."""
         self._server = await asyncio.start_server(self._serve, LOOPBACK_HOST, 0)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
@@ -109,85 +115,94 @@
             self._writer.transport.abort()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        beat, listed = None, False
-        with contextlib.suppress(*ENDS):
+        heartbeat, full_list_sent = None, False
+        with contextlib.suppress(*CONNECTION_ERRORS):
             head = await reader.readuntil(b"\r\n\r\n")
             self.payload_bytes += len(head)
-            named = AFTER.search(head)
-            self.resume_version, self._writer = int(named[1]) if named else 0, writer
-            async with self._writing:
-                self._opened.set()
+            match = AFTER_PARAMETER.search(head)
+            self.resume_version, self._writer = int(match[1]) if match else 0, writer
+            async with self._write_lock:
+                self._watch_opened.set()
                 if not self.is_silent:
-                    listed = self.force_full_list or not self.resume_version
+                    full_list_sent = self.force_full_list or not self.resume_version
                     await self._write(writer, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                    await self._line(
+                    await self._write_line(
                         writer,
-                        *(self.backend_list.full_list() if listed else (self.backend_list.encode_changes(),)),
+                        *(
+                            self.backend_list.full_list()
+                            if full_list_sent
+                            else (self.backend_list.encode_changes(),)
+                        ),
                     )
             if not self.is_silent:
-                beat = asyncio.create_task(self._beat(writer))
-            await reader.read()  # until the gateway ends it
-        if beat is not None:
-            beat.cancel()
-        if self._writer is writer:  # not ended by us
+                heartbeat = asyncio.create_task(self._send_heartbeats(writer))
+            await reader.read()  # returns when the gateway ends the watch
+        if heartbeat is not None:
+            heartbeat.cancel()
+        if self._writer is writer:  # the gateway, not the agent, ended the watch
             self._writer = None
-            if listed:
-                self.refused_lists, self.force_full_list = self.refused_lists + 1, False  # else refused again
+            if full_list_sent:
+                # Without this, the gateway would get and refuse the full list again and again.
+                self.refused_lists, self.force_full_list = self.refused_lists + 1, False
         writer.transport.abort()
 
-    async def _beat(self, writer: asyncio.StreamWriter) -> None:
-        with contextlib.suppress(*ENDS):
+    async def _send_heartbeats(self, writer: asyncio.StreamWriter) -> None:
+        with contextlib.suppress(*CONNECTION_ERRORS):
             while True:
-                await asyncio.sleep(HEARTBEAT_S)
-                await self._write(writer, HEARTBEAT)
+                await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+                await self._write(writer, HEARTBEAT_CHUNK)
 
-    async def _line(self, writer: asyncio.StreamWriter, *parts: bytes) -> None:
+    async def _write_line(self, writer: asyncio.StreamWriter, *parts: bytes) -> None:
         for view in map(memoryview, parts):
-            for start in range(0, len(view), PIECE_BYTES):
-                piece = view[start : start + PIECE_BYTES]
-                await self._write(writer, b"%x\r\n%b\r\n" % (len(piece), piece))
-        await self._write(writer, HEARTBEAT)  # the line's end
+            for start in range(0, len(view), CHUNK_BYTES):
+                chunk = view[start : start + CHUNK_BYTES]
+                await self._write(writer, b"%x\r\n%b\r\n" % (len(chunk), chunk))
+        await self._write(writer, HEARTBEAT_CHUNK)  # the newline that ends the list
 
     async def _write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         if writer.is_closing():
-            raise ConnectionResetError("the gateway has ended")
+            raise ConnectionResetError("the gateway has closed the watch")
         self.payload_bytes += len(data)
         writer.write(data)
         await writer.drain()
 
     def send_changes(self, *entries: bytes) -> float:
-        """Write a change to the gateway that watches, if one does; returns when."""
+        """Sends changes on the gateway's watch, if there is one; returns the time."""
         line = self.backend_list.encode_changes(*entries) + b"\n"
         data = b"%x\r\n%b\r\n" % (len(line), line)
-        at = time.monotonic()
+        sent_s = time.monotonic()
         if self._writer is not None:
             self.payload_bytes += len(data)
             self._writer.write(data)
-        return at
+        return sent_s
 
     async def restart_watch(self, within_s: float) -> bool:
-        """End the watch, and wait for the gateway to be back: it is once it has done all that came before."""
-        async with self._writing:
+        """Ends the watch and waits for the next one; returns False if there is none within `within_s`.
+
+        The gateway opens the next watch only after it has applied everything that it received before.
+        """
+        async with self._write_lock:
             writer, self._writer = self._writer, None
             if writer is not None:
-                self._opened.clear()
+                self._watch_opened.clear()
                 writer.write(b"0\r\n\r\n")
                 writer.close()
         return await self.wait_for_watch(within_s)
 
     async def wait_for_watch(self, within_s: float) -> bool:
+        """Waits for an open watch; returns False if there is none within `within_s`."""
         try:
-            await asyncio.wait_for(self._opened.wait(), within_s)
+            await asyncio.wait_for(self._watch_opened.wait(), within_s)
         except TimeoutError:
             return False
         return True
 
 
-class Lines(asyncio.Protocol):
-    """A connection to the counter: keeps numbers by name and adds at once."""
+class CounterConnection(asyncio.Protocol):
+    """A gateway's connection to the counter service."""
 
     def __init__(self, counter: Counter):
-        self._counter, self._rest = counter, b""
+        self._counter, self._unparsed = counter, b""
 
     def connection_made(self, transport) -> None:
         self._transport = transport
@@ -197,25 +212,32 @@
         self._counter.transports.discard(self._transport)
 
     def data_received(self, data: bytes) -> None:
-        *lines, self._rest = (self._rest + data).split(b"\r\n")
+        *lines, self._unparsed = (self._unparsed + data).split(b"\r\n")
         answers = b"".join(self._counter.answer(line) for line in lines)
         self._counter.payload_bytes += len(data) + len(answers)
         self._transport.write(answers)
 
 
 class Counter:
+    """A counter service that adds at once and keeps its totals for ever. `payload_bytes` counts both
+    directions."""
+
     def __init__(self) -> None:
-        self.calls, self.payload_bytes, self.port = 0, 0, 0  # calls; bytes of payload, both ways
+        self.calls, self.payload_bytes, self.port = 0, 0, 0
         self.transports: set[asyncio.Transport] = set()
         self._totals: dict[bytes, float] = {}
         self._server: asyncio.Server | None = None
 
     async def start(self) -> Counter:
-        self._server = await asyncio.get_running_loop().create_server(lambda: Lines(self), LOOPBACK_HOST, 0)
+        """Starts to listen and returns the counter."""
+        self._server = await asyncio.get_running_loop().create_server(
+            lambda: CounterConnection(self), LOOPBACK_HOST, 0
+        )
         self.port = self._server.sockets[0].getsockname()[1]
         return self
 
     def answer(self, line: bytes) -> bytes:
+        """Handles one line of a connection and returns the response line."""
         if line == b"ping":
             return b"pong\r\n"
         self.calls += 1
@@ -229,66 +251,70 @@
             transport.abort()
 
 
-class Served(asyncio.Protocol):
-    """A connection to a backend, whose number its own address tells."""
+class BackendConnection(asyncio.Protocol):
+    """A connection to a backend; the local address identifies the backend."""
 
     def __init__(self, backends: Backends):
-        self._backends, self._rest = backends, b""
+        self._backends, self._unparsed = backends, b""
 
     def connection_made(self, transport) -> None:
         self.transport = transport
         host = transport.get_extra_info("sockname")[0]
-        self.number = int.from_bytes(socket.inet_aton(host)) - FIRST_HOST
+        self.number = int.from_bytes(socket.inet_aton(host)) - FIRST_ADDRESS
         self._backends.accepted += 1
         self._backends.open_connections.setdefault(self.number, set()).add(self)
 
     def data_received(self, data: bytes) -> None:
-        *whole, self._rest = (self._rest + data).split(b"\r\n\r\n")  # requests have no body
-        if whole:
-            self._backends.requests += len(whole)
+        *requests, self._unparsed = (self._unparsed + data).split(b"\r\n\r\n")  # the requests have no body
+        if requests:
+            self._backends.requests += len(requests)
             counts = self._backends.request_counts
-            counts[self.number] = counts.get(self.number, 0) + len(whole)
+            counts[self.number] = counts.get(self.number, 0) + len(requests)
             self._backends.reached_at[self.number] = time.monotonic()
             self._backends.last_reached = self.number
-            answer = ANSWER * len(whole)
+            answer = RESPONSE * len(requests)
             if self._backends.work_s:
                 asyncio.get_running_loop().call_later(self._backends.work_s, self.transport.write, answer)
             else:
                 self.transport.write(answer)
 
     def connection_lost(self, error: Exception | None) -> None:
-        at = self._backends
-        at.closed_at[self.number] = time.monotonic()
-        at.open_connections[self.number].discard(self)
-        if not at.open_connections[self.number]:
-            del at.open_connections[self.number]
-            if at.on_last_closed is not None:
-                at.on_last_closed(self.number)
+        backends = self._backends
+        backends.closed_at[self.number] = time.monotonic()
+        backends.open_connections[self.number].discard(self)
+        if not backends.open_connections[self.number]:
+            del backends.open_connections[self.number]
+            if backends.on_last_closed is not None:
+                backends.on_last_closed(self.number)
 
 
 class Backends:
-    """Every backend of any list, behind one listener: any address of 127.0.0.0/8 at one port. Each answers
-    after `work_s` seconds, however many requests it has."""
+    """All backends of a list behind one listener, which accepts connections to any address of 127.0.0.0/8.
+
+    A backend responds to each request after `work_s` seconds, regardless of the number of requests.
+    """
 
     def __init__(self, work_s: float = 0.0) -> None:
         self.work_s = work_s
         self.accepted, self.requests, self.port = 0, 0, 0
-        self.last_reached = -1  # the backend that a request reached last
-        self.request_counts: dict[int, int] = {}  # requests by backend
-        self.reached_at: dict[int, float] = {}  # when a request last reached a backend
-        self.closed_at: dict[int, float] = {}  # when a connection to it last ended
-        self.open_connections: dict[int, set[Served]] = {}  # its connections
-        self.on_last_closed: Callable[[int], None] | None = None  # called with its number
+        self.last_reached = -1  # the backend that received the last request
+        self.request_counts: dict[int, int] = {}  # by backend
+        self.reached_at: dict[int, float] = {}  # time of the last request, by backend
+        self.closed_at: dict[int, float] = {}  # time when a connection last ended, by backend
+        self.open_connections: dict[int, set[BackendConnection]] = {}  # by backend
+        self.on_last_closed: Callable[[int], None] | None = None  # called with the backend's number
         self._server: asyncio.Server | None = None
 
     async def start(self) -> Backends:
-        listening = socket.socket()
-        listening.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, b"lo\0")  # nobody else's to reach
-        listening.bind(("0.0.0.0", 0))
+        """Starts to listen and returns the backends."""
+        listener = socket.socket()
+        # No access from other machines.
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, b"lo\0")
+        listener.bind(("0.0.0.0", 0))
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: Served(self), sock=listening, backlog=1024
+            lambda: BackendConnection(self), sock=listener, backlog=1024
         )
-        self.port = listening.getsockname()[1]
+        self.port = listener.getsockname()[1]
         return self
 
     def close(self) -> None:
--- a/tests/test_scale_real.py
+++ b/tests/test_scale_real.py
@@ -25,7 +25,7 @@
     found = {figure.name: figure for figure in real.measure_figures(True, notes.append)}
     assert notes and len(found) == 40
     for name, figure in found.items():
-        sizes = real.SHORT.customers if figure.size_of == "customers" else real.SHORT.sizes
+        sizes = real.SHORT_EXTENT.customers if figure.size_of == "customers" else real.SHORT_EXTENT.sizes
         assert [size for size, _ in figure.points] == list(sizes), name
         assert figure.about and figure.command and "not served" not in figure.about, name
     assert all(value > 20.0 for _, value in found["resident memory, list known"].points)
