--- a/experiments/__init__.py
+++ b/experiments/__init__.py
@@ -1,5 +1,6 @@
-"""Experiments: an experiment file names runs, runs give records, records give a page and comparisons.
+"""Experiments: an experiment file defines simulation runs, whose records are compared and shown on a page.
 
-Data flows one way: `plan` (the file), `play` (one run), `runner` (all runs, over the cores), `results` (the
-folder), then `noise`, `page` and `chart` (what is read off it). `command` has the commands.
+`plan` reads the file, `play` carries out one run, `runner` all runs in parallel, and `results` reads and
+writes the results folder. `noise` compares records, `page` and `chart` render the page. `command` has the
+commands.
 """
--- a/experiments/play.py
+++ b/experiments/play.py
@@ -1,4 +1,4 @@
-"""One run, from its plan to its record. Nothing else here knows how a fleet is played."""
+"""Carries out one run: simulates it and returns its record. The only module that knows the simulation."""
 
 from __future__ import annotations
 
@@ -15,14 +15,15 @@
 from scale.world import Options, World
 
 PERCENTILES = (50.0, 75.0, 90.0, 95.0, 99.0, 99.9)
-LOOK_MS = 200.0  # of virtual time between two looks whether the run shall end
-WORST_S = 2  # seconds that are taken together in `served_worth_share_worst`
-HISTOGRAMS = {"answered": "first try to the answer", "decided": "arrival to the first attempt"}  # of a record
+STOP_CHECK_INTERVAL_MS = 200.0  # virtual time between two checks whether to stop
+WORST_SPAN_S = 2  # length of the spans that `served_worth_share_worst` compares
+# Histograms of a record, with the titles of their charts.
+HISTOGRAMS = {"answered": "first try to the answer", "decided": "arrival to the first attempt"}
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One of `scale.faults.FAULTS`; `at` and `length` in seconds."""
+    """A fault of `scale.faults.FAULTS`, with its start (`at`) and duration (`length`) in seconds."""
 
     name: str
     at: float
@@ -31,9 +32,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """What is played. `point` names the place in the sweep. Without `faulted` the faults stay away, but the
-    figures over their time are still made. `module` has settings that the decision module is told otherwise
-    than the world has them."""
+    """One run of an experiment.
+
+    `point` is the label of the point in the sweep. `module` has settings that override those of the decision
+    module. If `faulted` is false, the faults are not injected, but the figures for their time are still
+    computed.
+    """
 
     point: str
     seed: int
@@ -44,34 +48,36 @@
 
 
 class Stopped(Exception):
-    """The run was told to end before its day was over."""
+    """Raised if a run is stopped before its end."""
+
 
+def play(run: Run, should_stop: Callable[[], bool] = lambda: False) -> dict:
+    """Carries out a run and returns its record, whose values can be encoded as JSON.
 
-def play(run: Run, stopped: Callable[[], bool] = lambda: False) -> dict:
-    """The record of a run, as JSON can hold it: the same for the same run. Raises `Stopped`.
+    The same run gives the same record. Raises `Stopped` if `should_stop` returns true during the run.
 
-    `figures` are those of `scale.record` and, over the time of the faults, `served_worth_share_in_faults`
-    (also `..._by_plan`), `served_worth_share_worst` (the worst two seconds from the first fault on) and
+    `figures` has those of `scale.record` and, for the time of the faults, `served_worth_share_in_faults` (and
+    `..._by_plan`), `served_worth_share_worst` (the worst two seconds from the first fault on) and
     `beyond_price_in_faults`.
     `seconds` has a list for each column of `scale.record.Second`, `latency_ms` a table of percentiles for
-    each of `HISTOGRAMS`, and `histograms` the same as encoded hdrhistograms, in microseconds.
+    each of `HISTOGRAMS`, and `histograms` the same as encoded HDR histograms in microseconds.
     """
-    told = {}
+    arguments = {}
     if run.module:
-        told["module"] = lambda settings, seed: Gateway(replace(settings, **dict(run.module)), seed)
-    world = World(run.options, **told)
+        arguments["module"] = lambda settings, seed: Gateway(replace(settings, **dict(run.module)), seed)
+    world = World(run.options, **arguments)
     if run.faulted:
         for fault in run.faults:
             world.clock.call_at(
                 world.start_ms + fault.at * 1000.0, FAULTS[fault.name].inject, world, fault.length * 1000.0
             )
-    world.clock.call_at(world.start_ms + LOOK_MS, _look, world, stopped)
+    world.clock.call_at(world.start_ms + STOP_CHECK_INTERVAL_MS, _check_stop, world, should_stop)
     figures = world.play()
     columns = {
         field.name: [getattr(second, field.name) for second in world.record.seconds]
         for field in fields(Second)
     }
-    times = {name: getattr(world.record, name) for name in HISTOGRAMS}
+    histograms = {name: getattr(world.record, name) for name in HISTOGRAMS}
     return {
         "point": run.point,
         "seed": run.seed,
@@ -79,38 +85,42 @@
         "faults": [asdict(fault) for fault in run.faults],
         "module": dict(run.module),
         "options": asdict(run.options),
-        "figures": {**figures, **_over_faults(run, columns)},
+        "figures": {**figures, **_fault_figures(run, columns)},
         "seconds": columns,
-        "latency_ms": {name: percentiles(found) for name, found in times.items()},
-        "histograms": {name: found.encode().decode("ascii") for name, found in times.items()},
+        "latency_ms": {name: percentiles(histogram) for name, histogram in histograms.items()},
+        "histograms": {name: histogram.encode().decode("ascii") for name, histogram in histograms.items()},
     }
 
 
-def _look(world: World, stopped: Callable[[], bool]) -> None:
-    if stopped():
+def _check_stop(world: World, should_stop: Callable[[], bool]) -> None:
+    if should_stop():
         raise Stopped
-    world.clock.call_at(world.clock.now + LOOK_MS, _look, world, stopped)
+    world.clock.call_at(world.clock.now + STOP_CHECK_INTERVAL_MS, _check_stop, world, should_stop)
 
 
-def percentiles(found: HdrHistogram) -> dict[str, float]:
-    """In milliseconds, by percentile."""
-    return {f"{p:g}": found.get_value_at_percentile(p) / 1000.0 for p in PERCENTILES}
+def percentiles(histogram: HdrHistogram) -> dict[str, float]:
+    """Returns the values in milliseconds by percentile."""
+    return {
+        f"{percentile:g}": histogram.get_value_at_percentile(percentile) / 1000.0
+        for percentile in PERCENTILES
+    }
 
 
-def _over_faults(run: Run, columns: dict[str, list]) -> dict[str, float | dict]:
-    """Over the whole seconds that the faults touch; without any, over the whole day."""
-    last = int(run.options.seconds)
-    begin = min((int(fault.at) for fault in run.faults), default=0)
-    end = max((int(fault.at + fault.length) for fault in run.faults), default=last)
+def _fault_figures(run: Run, columns: dict[str, list]) -> dict[str, float | dict]:
+    """Returns the figures for the seconds in which faults are active, or for all seconds if there are
+    none."""
+    end_second = int(run.options.seconds)
+    first_second = min((int(fault.at) for fault in run.faults), default=0)
+    fault_end_second = max((int(fault.at + fault.length) for fault in run.faults), default=end_second)
     asked, served, beyond = (columns[key] for key in ("asked", "served", "beyond"))
-    during = slice(begin, max(end, begin + 1))
+    during = slice(first_second, max(fault_end_second, first_second + 1))
     asked_by_plan, served_by_plan = (
         sum(columns[key][during], Counts()) for key in ("asked_by_plan", "served_by_plan")
     )
     worst = [
-        ratio(sum(served[second : second + WORST_S]), sum(asked[second : second + WORST_S]))
-        for second in range(begin, last - WORST_S + 1)
-        if any(asked[second : second + WORST_S])
+        ratio(sum(served[second : second + WORST_SPAN_S]), sum(asked[second : second + WORST_SPAN_S]))
+        for second in range(first_second, end_second - WORST_SPAN_S + 1)
+        if any(asked[second : second + WORST_SPAN_S])
     ]
     return {
         "served_worth_share_in_faults": ratio(sum(served[during]), sum(asked[during])),
@@ -124,6 +134,6 @@
 
 @cache
 def figure_names() -> tuple[str, ...]:
-    """The figures that a record has: read off a tiny one."""
-    tiny = Run("", 1, Options(gateways=2, backends=2, seconds=0.5))
-    return tuple(play(tiny)["figures"])
+    """Returns the names of a record's figures, taken from a small run."""
+    small_run = Run("", 1, Options(gateways=2, backends=2, seconds=0.5))
+    return tuple(play(small_run)["figures"])
--- a/scale/real.py
+++ b/scale/real.py
@@ -401,8 +401,8 @@
             self.put(
                 f"longest step of the loop, {phase}",
                 "ms",
-                "Lateness of a timer of 1 ms, less the time for which the process waited for a processor, in a "
-                "second gateway that receives the lists and changes but no requests; "
+                "Lateness of a timer of 1 ms, less the time for which the process waited for a processor, in "
+                "a second gateway that receives the lists and changes but no requests; "
                 f"{METER_RESOLUTION_MS} means that or less",
                 None if refused else metered.longest_step_ms(since_s, time.monotonic()),
                 refused,
@@ -439,8 +439,8 @@
             f"{changes.timeouts} not in force within {PROPAGATION_LIMIT_S:.0f} s" if changes.timeouts else ""
         )
         about = (
-            "From when the agent announces that a backend drains until the gateway has closed its connections "
-            "to it and the last request has arrived"
+            "From when the agent announces that a backend drains until the gateway has closed its "
+            "connections to it and the last request has arrived"
         )
         self.put(
             "time until a change is in force, median",
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -1,4 +1,4 @@
-"""Experiments: files that are refused, records that repeat, interrupts, and comparisons."""
+"""Tests of experiments: invalid files, reproducible records, interrupts, and comparisons."""
 
 import json
 import os
@@ -34,17 +34,17 @@
     return CliRunner().invoke(main, [str(part) for part in line])
 
 
-def kept(folder: Path, text: str, processes: int = 2) -> Path:
-    """The results of an experiment of that text."""
+def run_experiment(folder: Path, text: str, processes: int = 2) -> Path:
+    """Runs an experiment with the given file content and returns the results folder."""
     file = folder.with_suffix(".toml")
     file.write_text(text)
-    found = run("experiment", file, "--out", folder, "--processes", processes)
-    assert found.exit_code == 0, found.output
+    result = run("experiment", file, "--out", folder, "--processes", processes)
+    assert result.exit_code == 0, result.output
     return folder
 
 
 @pytest.mark.parametrize(
-    "old, new, told",
+    "old, new, named",
     [
         ("gateways = 3", "gatways = 3", ["fleet.gatways", "gateways, regions"]),
         ("gateways = 3", "gateways = 0", ["fleet.gateways", "1<=x<=4000"]),
@@ -57,9 +57,9 @@
         ("[0.3, 0.6]", str([n / 1000 for n in range(1, 1001)]), ["sweep", "4,000 runs", "2,000"]),
         ("[sweep]", "[sweep]\nsize = [{ load.load = 0.5 }]", ["sweep.load.load", "another axis"]),
         ("{ at = 0.5, length = 0.5 }", "{}", ["faults.restart", "empty"]),
-        ("seconds = 2", "rate = inf", ["load.rate", "inf is no number"]),
+        ("seconds = 2", "rate = inf", ["load.rate", "inf is not a number"]),
         ("seconds = 2", "rate = 1" + 400 * "0", ["load.rate", "too large"]),
-        ("[1, 3]", '"1-3"', ["fleet.spread", "'1-3' is no number, or two"]),
+        ("[1, 3]", '"1-3"', ["fleet.spread", "'1-3' is not a number or an array of two"]),
         ("seeds = [1, 2]", "seeds = [1, -2]", ["seeds", "-2"]),
         (
             '"served_worth_share",',
@@ -67,48 +67,51 @@
             ["compare.figures", "'speed'", "served_worth_share"],
         ),
         ("name =", "title =", ["title", "name, question, seeds"]),
-        ("[compare]", "[compare", ["no TOML"]),
+        ("[compare]", "[compare", ["not valid TOML"]),
     ],
 )
-def test_a_file_that_cannot_be_used_is_told_by_file_and_key_and_nothing_is_run(tmp_path, old, new, told):
+def test_an_error_in_the_file_names_the_file_and_the_key_and_nothing_is_run(tmp_path, old, new, named):
     file, out = tmp_path / "bad.toml", tmp_path / "out"
     file.write_text(TINY.replace(old, new, 1))
-    found = run("experiment", file, "--out", out)
-    assert found.exit_code == 2 and str(file) in found.stderr and not out.exists()
-    assert all(part in found.stderr for part in told), found.stderr
+    result = run("experiment", file, "--out", out)
+    assert result.exit_code == 2 and str(file) in result.stderr and not out.exists()
+    assert all(part in result.stderr for part in named), result.stderr
     checked = run("check", file)
-    assert checked.exit_code == 2 and checked.stderr.split(": ", 1)[1] == found.stderr.split(": ", 1)[1]
+    assert checked.exit_code == 2 and checked.stderr.split(": ", 1)[1] == result.stderr.split(": ", 1)[1]
 
 
-def test_the_same_file_gives_the_same_results_whatever_the_processes(tmp_path):
-    one, two = kept(tmp_path / "one", TINY, processes=1), kept(tmp_path / "two", TINY, processes=2)
+def test_the_same_file_gives_the_same_results_for_any_number_of_processes(tmp_path):
+    one, two = (
+        run_experiment(tmp_path / "one", TINY, processes=1),
+        run_experiment(tmp_path / "two", TINY, processes=2),
+    )
     for name in (results.RECORDS_FILE, results.STATE_FILE, results.PAGE_FILE, results.EXPERIMENT_FILE):
         assert (one / name).read_bytes() == (two / name).read_bytes()
-    found = results.read(one)
-    assert [results.record_key(record) for record in found.records] == [
+    stored = results.read(one)
+    assert [results.record_key(record) for record in stored.records] == [
         (point, faulted, seed)
         for point in ("load=0.3", "load=0.6")
         for seed in (1, 2)
         for faulted in (True, False)
     ]
-    for record in found.records:
+    for record in stored.records:
         plans = record["figures"]["served_worth_share_by_plan"]
         assert set(plans) <= {"basico", "estandar", "ampliado"} and max(plans.values()) <= 1.0
         assert sum(record["seconds"]["tries"]) == record["figures"]["tries"]
-        assert (record["figures"]["lost"] > 0) <= record["faulted"]  # without faults nothing is lost
+        assert (record["figures"]["lost"] > 0) <= record["faulted"]  # only faults lose requests
     page = (one / results.PAGE_FILE).read_text()
     assert "tiny &lt;day&gt;" in page and "<script" not in page and "://" not in page
 
 
-def test_a_setting_of_the_module_reaches_it(tmp_path):
+def test_a_module_setting_takes_effect(tmp_path):
     text = TINY.replace('"load.load" = [0.3, 0.6]', '"module.most_out" = [1, 1000]')
     served = {"most_out=1": 0, "most_out=1000": 0}
-    for record in results.read(kept(tmp_path / "out", text)).records:
+    for record in results.read(run_experiment(tmp_path / "out", text)).records:
         served[record["point"]] += record["figures"]["served"]
     assert 0 < served["most_out=1"] < served["most_out=1000"]
 
 
-def test_an_interrupt_keeps_what_has_ended_and_leaves_a_partial_result_that_can_be_read(tmp_path):
+def test_an_interrupt_keeps_the_finished_runs_and_marks_the_results_as_partial(tmp_path):
     file, out = tmp_path / "long.toml", tmp_path / "out"
     file.write_text(TINY.replace("seeds = [1, 2]", f"seeds = {list(range(400))}"))
     process = subprocess.Popen(
@@ -120,72 +123,80 @@
         start_new_session=True,
     )
     assert process.stderr.readline().startswith("1 of 1600")
-    os.killpg(process.pid, signal.SIGINT)  # as a terminal does: to the workers too
-    told = process.stderr.read()
-    assert process.wait() == 130 and "Traceback" not in told
-    found = results.read(out)
-    assert found.state["partial"] and found.state["failed"] == []
-    assert 1 <= len(found.records) == found.state["ended"] < 1600
+    os.killpg(process.pid, signal.SIGINT)  # a terminal also signals the whole process group
+    errors = process.stderr.read()
+    assert process.wait() == 130 and "Traceback" not in errors
+    stored = results.read(out)
+    assert stored.state["partial"] and stored.state["failed"] == []
+    assert 1 <= len(stored.records) == stored.state["ended"] < 1600
     assert "Partial: " in (out / results.PAGE_FILE).read_text()
 
 
-def test_compare_finds_a_difference_that_was_put_in_and_none_between_equal_ones(tmp_path):
+def test_compare_detects_a_difference_and_reports_equal_results_as_equal(tmp_path):
     text = TINY.replace("[1, 2]", str(list(range(1, 9)))).replace("[0.3, 0.6]", "[0.5]")
     text = text.replace("true", "false").replace('"served_worth_share_by_plan"', '"counter_unanswered_share"')
-    a, again = kept(tmp_path / "a", text), kept(tmp_path / "again", text)
-    gone = text.replace("restart = { at = 0.5, length = 0.5", "counter-gone = { at = 0, length = 2")
-    b = kept(tmp_path / "b", gone)
+    a, again = run_experiment(tmp_path / "a", text), run_experiment(tmp_path / "again", text)
+    outage_text = text.replace("restart = { at = 0.5, length = 0.5", "counter-gone = { at = 0, length = 2")
+    b = run_experiment(tmp_path / "b", outage_text)
     same = json.loads(run("compare", a, again, "--json").stdout)
-    assert {at["verdict"] for figure in same["figures"] for at in figure["differences"]} == {"equal"}
+    assert {difference["verdict"] for figure in same["figures"] for difference in figure["differences"]} == {
+        "equal"
+    }
     assert same["settings"] == {} and same["without_partner"] == 0
-    found = json.loads(run("compare", a, b, "--json").stdout)
-    verdicts = {figure["figure"]: figure["differences"][0]["verdict"] for figure in found["figures"]}
-    assert verdicts["counter_unanswered_share"] == "higher" and list(found["settings"]) == ["faults"]
+    different = json.loads(run("compare", a, b, "--json").stdout)
+    verdicts = {figure["figure"]: figure["differences"][0]["verdict"] for figure in different["figures"]}
+    assert verdicts["counter_unanswered_share"] == "higher" and list(different["settings"]) == ["faults"]
     table = run("compare", a, b).stdout
     assert "counter_unanswered_share" in table and "higher" in table
 
 
-def test_a_run_that_fails_is_told_and_the_others_go_on(tmp_path, monkeypatch):
+def test_a_failing_run_is_reported_and_the_others_continue(tmp_path, monkeypatch):
     file, out = tmp_path / "half.toml", tmp_path / "out"
     file.write_text(TINY)
-    real = plan.read(file)
-    broken = tuple(
-        replace(run, module=(("no such setting", 1),)) if run.seed == 2 else run for run in real.runs
+    valid = plan.read(file)
+    runs = tuple(
+        replace(run, module=(("no such setting", 1),)) if run.seed == 2 else run for run in valid.runs
     )
-    monkeypatch.setattr(plan, "read", lambda path: replace(real, runs=broken))
-    found = run("experiment", file, "--out", out, "--processes", 2)
-    assert found.exit_code == 1 and "no such setting" in found.stderr
-    kept = results.read(out)
-    assert kept.state["partial"] and len(kept.state["failed"]) == 4
-    assert {record["seed"] for record in kept.records} == {1} and len(kept.records) == 4
+    monkeypatch.setattr(plan, "read", lambda path: replace(valid, runs=runs))
+    result = run("experiment", file, "--out", out, "--processes", 2)
+    assert result.exit_code == 1 and "no such setting" in result.stderr
+    stored = results.read(out)
+    assert stored.state["partial"] and len(stored.state["failed"]) == 4
+    assert {record["seed"] for record in stored.records} == {1} and len(stored.records) == 4
     again = run("experiment", file, "--out", out)
     assert again.exit_code == 2 and str(out) in again.stderr and "not empty" in again.stderr
     assert run("compare", out, tmp_path).exit_code == 2
 
 
-def test_a_torn_last_line_is_left_out_only_of_a_partial_result(tmp_path):
-    out = kept(tmp_path / "out", TINY)
-    whole = (out / results.RECORDS_FILE).read_text()
-    (out / results.RECORDS_FILE).write_text(whole[:-50])
+def test_an_incomplete_last_line_is_ignored_only_in_partial_results(tmp_path):
+    out = run_experiment(tmp_path / "out", TINY)
+    complete_text = (out / results.RECORDS_FILE).read_text()
+    (out / results.RECORDS_FILE).write_text(complete_text[:-50])
     with pytest.raises(plan.InvalidInput, match="records.jsonl"):
         results.read(out)
     state = json.loads((out / results.STATE_FILE).read_text())
     (out / results.STATE_FILE).write_text(json.dumps({**state, "partial": True}))
-    assert len(results.read(out).records) == len(whole.splitlines()) - 1
+    assert len(results.read(out).records) == len(complete_text.splitlines()) - 1
 
 
 def test_the_verdict_counts_seeds_and_not_points():
-    def records(by: float, seeds: int) -> list[dict]:
+    def records(offset: float, seeds: int) -> list[dict]:
         return [
-            {"point": point, "seed": seed, "figures": {"x": by + seed, "flat": 1.0}}
+            {"point": point, "seed": seed, "figures": {"x": offset + seed, "flat": 1.0}}
             for point in "abcd"
             for seed in range(seeds)
         ]
 
-    def verdicts(by: float, seeds: int) -> list[set[str]]:
-        found = noise.compare_records(records(0.0, seeds), records(by, seeds), ["x", "flat"])
-        assert [at.point for at in found[0].differences] == ["a", "b", "c", "d", noise.ALL_POINTS]
-        return [{at.verdict for at in figure.differences} for figure in found]
+    def verdicts(offset: float, seeds: int) -> list[set[str]]:
+        compared = noise.compare_records(records(0.0, seeds), records(offset, seeds), ["x", "flat"])
+        assert [difference.point for difference in compared[0].differences] == [
+            "a",
+            "b",
+            "c",
+            "d",
+            noise.ALL_POINTS,
+        ]
+        return [{difference.verdict for difference in figure.differences} for figure in compared]
 
     assert verdicts(1.0, 7) == [{"higher"}, {"equal"}] and verdicts(-1.0, 7) == [{"lower"}, {"equal"}]
     assert verdicts(1.0, 3) == [{"too few seeds"}, {"equal"}]
@@ -197,7 +208,9 @@
 
 
 @pytest.mark.parametrize("file", QUESTIONS, ids=lambda file: file.stem)
-def test_the_questions_that_are_shipped_can_be_run(file):
-    found = plan.read(file)
-    assert run("check", file).stdout == f"{file}: usable: {len(found.runs)} runs\n"
-    assert len({one.seed for one in found.runs}) >= 2 and len({one.point for one in found.runs}) >= 2
+def test_the_experiment_files_in_the_repository_are_valid(file):
+    experiment = plan.read(file)
+    assert run("check", file).stdout == f"{file}: usable: {len(experiment.runs)} runs\n"
+    assert (
+        len({one.seed for one in experiment.runs}) >= 2 and len({one.point for one in experiment.runs}) >= 2
+    )
