--- a/tests/test_scale_command.py
+++ b/tests/test_scale_command.py
@@ -1,4 +1,4 @@
-"""The command line of the scale rig."""
+"""Tests of the command line of the scale test rig."""
 
 import json
 
@@ -11,20 +11,20 @@
 
 def test_the_short_form_prints_every_figure_of_the_hollow_tier(tmp_path):
     names = [series.name for series in measurements.SERIES]
-    only = [part for name in names for part in ("--only", name)]
+    only = [argument for name in names for argument in ("--only", name)]
     file = tmp_path / "figures.json"
-    found = CliRunner().invoke(main, ["figures", "--short", "--processes", "2", "--json", str(file), *only])
-    assert found.exit_code == 0, found.output
-    kept = json.loads(file.read_text())
-    assert len(kept) == sum(len(series.values) for series in measurements.SERIES)
-    for figure in kept:
-        assert len(figure["points"]) >= 4 and figure["name"] in found.stdout
+    result = CliRunner().invoke(main, ["figures", "--short", "--processes", "2", "--json", str(file), *only])
+    assert result.exit_code == 0, result.output
+    figures = json.loads(file.read_text())
+    assert len(figures) == sum(len(series.values) for series in measurements.SERIES)
+    for figure in figures:
+        assert len(figure["points"]) >= 4 and figure["name"] in result.stdout
         assert figure["command"].startswith("python -m scale figures --only ")
 
 
-def test_each_fault_is_played_beside_the_day_without_it(tmp_path):
+def test_faults_are_compared_with_the_same_run_without_them(tmp_path):
     file = tmp_path / "faults.json"
-    found = CliRunner().invoke(
+    result = CliRunner().invoke(
         main,
         [
             "faults",
@@ -44,16 +44,17 @@
             str(file),
         ],
     )
-    assert found.exit_code == 0, found.output
+    assert result.exit_code == 0, result.output
     zone, counter = json.loads(file.read_text())
-    # A zone holds one of the 16 gateways, whose requests are lost; without the counter all are harmed.
+    # The lost zone has one of the 16 gateways, whose requests are lost; the counter outage affects all of
+    # them.
     assert zone["lost"] > 0 and zone["served_during"] < zone["served_before"]
     assert counter["lost"] == 0 and counter["served_before"] == zone["served_before"]
     assert counter["lower_for_s"] > 0.0
 
 
 @pytest.mark.parametrize(
-    "line, told",
+    "arguments, named",
     [
         (["hollow", "--gateways", "none"], "--gateways"),
         (["hollow", "--spread", "9-3"], "--spread"),
@@ -64,6 +65,6 @@
         (["hollow", "--regions", "3", "--zones", "2"], "--regions"),
     ],
 )
-def test_a_bad_option_is_told_by_name(line, told):
-    found = CliRunner().invoke(main, line)
-    assert found.exit_code == 2 and told in found.output
+def test_an_error_names_the_invalid_option(arguments, named):
+    result = CliRunner().invoke(main, arguments)
+    assert result.exit_code == 2 and named in result.output
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -1,4 +1,5 @@
-"""The hollow fleet: the same from the same seed, its oracle against hand-worked cases, and its checks."""
+"""Tests of simulations with hollow gateways: reproducibility, the exact quotas, and the checks of the
+module's obligations."""
 
 import json
 import os
@@ -16,11 +17,11 @@
 SMALL = Options(gateways=4, backends=6, spread=(1, 4), seconds=2.0, leave=0.05)
 
 
-def test_the_same_options_give_the_same_record_whatever_the_order_of_hash_tables():
+def test_the_same_options_give_the_same_record_for_any_hash_seed():
     command = (
         "import json; from tests.test_scale_hollow import SMALL, World;print(json.dumps(World(SMALL).play()))"
     )
-    found = [
+    outputs = [
         subprocess.run(
             [sys.executable, "-c", command],
             env={**os.environ, "PYTHONHASHSEED": seed},
@@ -31,11 +32,11 @@
         ).stdout
         for seed in ("1", "2")
     ]
-    assert found[0] == found[1] and json.loads(found[0])["served"] > 100
-    assert json.loads(found[0])["broken"] == {}
+    assert outputs[0] == outputs[1] and json.loads(outputs[0])["served"] > 100
+    assert json.loads(outputs[0])["broken"] == {}
 
 
-def test_a_try_is_inside_the_quota_while_the_store_holds_its_units():
+def test_a_try_is_within_the_quota_while_the_bucket_holds_its_units():
     account = Account(io.Plan("p", rate=2.0, burst=6.0), 0.0)
     assert [account.take_quota(0.0, 4.0), account.take_quota(0.0, 3.0), account.take_quota(0.0, 2.0)] == [
         True,
@@ -44,13 +45,13 @@
     ]
     assert not account.take_quota(499.0, 1.0) and account.take_quota(
         500.0, 1.0
-    )  # what was beyond has taken nothing
+    )  # a try beyond the quota takes no units
     assert account.headroom(2000.0, 3.0) == (True, False) and account.headroom(2000.0, 3.1) == (False, False)
-    assert account.headroom(60000.0, 3.0) == (True, True)  # never more than the burst
+    assert account.headroom(60000.0, 3.0) == (True, True)  # the bucket holds at most the burst
     assert account.headroom(60000.0, 3.1) == (True, False)
 
 
-def test_a_try_is_beyond_the_quota_with_as_many_attempts_out_as_the_plan_allows():
+def test_a_try_is_beyond_the_quota_at_the_concurrency_limit():
     account = Account(io.Plan("p", rate=2.0, burst=6.0, max_concurrency=2), 0.0)
     account.in_flight = 2
     assert not account.take_quota(0.0, 1.0) and account.headroom(0.0, 1.0) == (False, False)
@@ -58,92 +59,98 @@
     assert account.headroom(0.0, 1.0) == (True, True) and account.take_quota(0.0, 6.0)
 
 
-def test_each_first_try_draws_on_the_ceiling_whether_it_is_inside_the_quota_or_not():
+def test_every_try_draws_on_the_ceiling_even_without_room():
     plan = io.Plan("p", rate=1.0, burst=4.0, ceiling_rate=2.0, ceiling_burst=8.0, ceiling_tolerance=3.0)
     account = Account(plan, 0.0)
     assert [account.exceeds_ceiling(0.0, units) for units in (8.0, 3.0, 1.0)] == [False, False, True]
     assert not account.exceeds_ceiling(1000.0, 1.0)
 
 
-class Twice(Gateway):
-    """Answers once more after each refusal."""
+class RefusesTwice(Gateway):
+    """Refuses each refused request a second time."""
 
     def handle(self, now_ms, event):
-        acts = super().handle(now_ms, event)
-        return acts + [act for act in acts if isinstance(act, io.Reject)]
+        actions = super().handle(now_ms, event)
+        return actions + [action for action in actions if isinstance(action, io.Reject)]
 
 
-class Late(Gateway):
-    """Answers what was served, a moment later than it was told so."""
+class FailsAfterResponse(Gateway):
+    """Fails a request in the step after the one that told of its response."""
 
     def __init__(self, settings, seed):
         super().__init__(settings, seed)
-        self.served = []
+        self.failures = []
 
     def handle(self, now_ms, event):
-        late, self.served = self.served, []
+        delayed, self.failures = self.failures, []
         if isinstance(event, io.AttemptEnded) and event.final:
-            self.served = [io.Fail(event.request)]
-        return super().handle(now_ms, event) + late
+            self.failures = [io.Fail(event.request)]
+        return super().handle(now_ms, event) + delayed
 
 
-class Crossing(Gateway):
-    """Gives up on a request in the very step that tells it was served."""
+class FailsWithResponse(Gateway):
+    """Fails a request in the same step that tells of its response."""
 
     def handle(self, now_ms, event):
         served = isinstance(event, io.AttemptEnded) and event.final
         return ([io.Fail(event.request)] if served else []) + super().handle(now_ms, event)
 
 
-def test_an_alarm_that_crosses_the_answer_is_no_second_answer():
-    world = World(SMALL, Crossing)
+def test_a_failure_in_the_step_that_tells_of_the_response_is_not_a_second_answer():
+    world = World(SMALL, FailsWithResponse)
     world.play()
     assert world.record.broken["a second final answer"] == 0 and world.record.served > 100
 
 
-class Deaf(Gateway):
-    """Sends on what it has refused."""
+class SendsAfterRefusal(Gateway):
+    """Sends a request to a backend after refusing it."""
 
     def handle(self, now_ms, event):
-        acts = super().handle(now_ms, event)
-        return acts + [io.Send(act.request, self.usable[0].id) for act in acts if isinstance(act, io.Reject)]
+        actions = super().handle(now_ms, event)
+        return actions + [
+            io.Send(action.request, self.usable[0].id) for action in actions if isinstance(action, io.Reject)
+        ]
 
 
-class Doubling(Gateway):
-    """Sends each request on twice at once."""
+class SendsTwice(Gateway):
+    """Starts two attempts of each request at once."""
 
     def handle(self, now_ms, event):
-        acts = super().handle(now_ms, event)
-        return [copy for act in acts for copy in ([act, act] if isinstance(act, io.Send) else [act])]
+        actions = super().handle(now_ms, event)
+        return [
+            duplicate
+            for action in actions
+            for duplicate in ([action, action] if isinstance(action, io.Send) else [action])
+        ]
 
 
-class Dumb(Gateway):
-    """Answers nothing."""
+class NeverAnswers(Gateway):
+    """Never answers a request."""
 
     def handle(self, now_ms, event):
         return []
 
 
-class Retrying(Gateway):
-    """Refuses what it has sent on."""
+class RefusesAfterSending(Gateway):
+    """Refuses a request after sending it to a backend."""
 
     def handle(self, now_ms, event):
-        acts = super().handle(now_ms, event)
-        return acts + [io.Reject(act.request) for act in acts if isinstance(act, io.Send)]
+        actions = super().handle(now_ms, event)
+        return actions + [io.Reject(action.request) for action in actions if isinstance(action, io.Send)]
 
 
 @pytest.mark.parametrize(
-    "module, what",
+    "module, rule",
     [
-        (Twice, "a second final answer"),
-        (Late, "a second final answer"),
-        (Deaf, "sent on after its end"),
-        (Doubling, "two attempts at once"),
-        (Dumb, "never answered"),
-        (Retrying, "refused what may have run"),
+        (RefusesTwice, "a second final answer"),
+        (FailsAfterResponse, "a second final answer"),
+        (SendsAfterRefusal, "sent on after its end"),
+        (SendsTwice, "two attempts at once"),
+        (NeverAnswers, "never answered"),
+        (RefusesAfterSending, "refused what may have run"),
     ],
 )
-def test_a_gateway_that_breaks_a_rule_is_noticed(module, what):
+def test_a_violation_of_the_modules_obligations_is_recorded(module, rule):
     world = World(SMALL, module)
     world.play()
-    assert world.record.broken[what] > 0
+    assert world.record.broken[rule] > 0
