--- a/experiments/page.py
+++ b/experiments/page.py
@@ -32,7 +32,9 @@
     points: dict[str, list[dict[str, float]]] = {point: [] for point in results.points}
     for record in records:
         points[record["point"]].append(noise.flatten(record["figures"]))
-    names = dict.fromkeys(name for records in points.values() for figures in records for name in figures)
+    names = dict.fromkeys(
+        name for point_figures in points.values() for figures in point_figures for name in figures
+    )
     chosen = set(results.state["figures"])
     rows = []
     for name in names:
--- a/experiments/plan.py
+++ b/experiments/plan.py
@@ -293,7 +293,8 @@
         swept |= axis_settings
     all_settings = [base, *itertools.chain.from_iterable(axes)]
     figures, with_baseline = _read_comparison(
-        table.get("compare"), any(key.startswith("faults.") for settings in all_settings for key in settings)
+        table.get("compare"),
+        any(setting.startswith("faults.") for group in all_settings for setting in group),
     )
     count = len(seeds) * (2 if with_baseline else 1)
     for points in axes:
--- a/experiments/runner.py
+++ b/experiments/runner.py
@@ -53,8 +53,7 @@
     stop = context.Event()
     interrupts: list[int] = []
     previous_handlers = {
-        signal_number: signal.signal(signal_number, lambda number, _: interrupts.append(number))
-        for signal_number in SIGNALS
+        handled: signal.signal(handled, lambda number, _: interrupts.append(number)) for handled in SIGNALS
     }
     try:
         with ProcessPoolExecutor(processes, context, _init_worker, (stop,)) as pool:
--- a/tests/test_scale_standins.py
+++ b/tests/test_scale_standins.py
@@ -28,7 +28,7 @@
         outcome: [result for result in results if result.outcome is outcome] for outcome in io.Outcome
     }
     assert [
-        len(by_outcome[outcome]) for outcome in (io.Outcome.OK, io.Outcome.TIMEOUT, io.Outcome.OVERLOADED)
+        len(by_outcome[expected]) for expected in (io.Outcome.OK, io.Outcome.TIMEOUT, io.Outcome.OVERLOADED)
     ] == [2, 1, 2]
     assert results[-1].total == 2.0 and results[-1].elapsed_ms == pytest.approx(
         40.0 + 2.0 * SAME_ZONE_DELAY_MS
