--- a/experiments/chart.py
+++ b/experiments/chart.py
@@ -88,7 +88,7 @@
     def x_ticks(self) -> list[tuple[float, str]]:
         """Returns the position in px and the label of each tick of the x axis."""
         if self.names:
-            return [(self._x_px(place), name) for place, name in enumerate(self.names)]
+            return [(self._x_px(index), name) for index, name in enumerate(self.names)]
         low, high, _, _ = self._ranges()
         return [(self._x_px(x), f"{x:g}") for x in ticks(low, high)]
 
@@ -120,8 +120,8 @@
 
     def shades(self) -> list[tuple[float, float]]:
         """Returns the left edge and the width of each band in px, limited to the plot area."""
-        found = []
+        rects = []
         for begin, end in self.bands:
             first, last = max(self.left, self._x_px(begin)), min(self.right, self._x_px(end))
-            found.append((first, max(1.0, last - first)))
-        return found
+            rects.append((first, max(1.0, last - first)))
+        return rects
--- a/experiments/plan.py
+++ b/experiments/plan.py
@@ -25,9 +25,9 @@
 LOAD_OPTIONS = ("rate", "load", "customers", "mix", "leave", "seconds", "warm_up")
 # Options with an equivalent elsewhere in the file.
 EXCLUDED_OPTIONS = ("seed", "faults", "fault_at", "fault_for")
-# Settings of the decision module that an experiment may override. Those that the simulation depends on as
-# well
-# (classes, plans, clocks) are not included.
+# Settings of the decision module that an experiment may override. The rules that it has to keep (classes,
+# plans,
+# clocks) are not included.
 MODULE_SETTINGS = (
     "counter_price",
     "may_advise",
@@ -294,7 +294,7 @@
     all_settings = [base, *itertools.chain.from_iterable(axes)]
     figures, with_baseline = _read_comparison(
         table.get("compare"),
-        any(setting.startswith("faults.") for group in all_settings for setting in group),
+        any(dotted_key.startswith("faults.") for group in all_settings for dotted_key in group),
     )
     count = len(seeds) * (2 if with_baseline else 1)
     for points in axes:
--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -185,7 +185,7 @@
     try:
         from . import real
     except ImportError as error:
-        print_progress(f"the real tier is left out, as its requirements are not installed: {error}")
+        print_progress(f"the real tier is left out: {error}")
         return []
     return real.measure_figures(short, print_progress)
 
--- a/scale/backends.py
+++ b/scale/backends.py
@@ -18,7 +18,7 @@
 HANDSHAKE_RTTS, HANDSHAKE_MS = 2.0, 1.0  # round trips, and processor time of the backend
 CONNECT_TIMEOUT_MS = 250.0
 KEEPALIVE_MS = 15000.0  # a backend closes a connection after this idle time
-# Of KEEPALIVE_MS, after which a gateway does not reuse a connection (as `elderhub.backends`).
+# Share of KEEPALIVE_MS after which a gateway does not reuse an idle connection (as `elderhub.backends`).
 MAX_IDLE_SHARE = 0.5
 REUSE_DELAY_MS = 20.0  # minimum idle time before a connection is reused (as `elderhub.backends`)
 MAX_CONNECTIONS_PER_GATEWAY = 64  # to one backend (as `elderhub.backends`)
--- a/scale/clients.py
+++ b/scale/clients.py
@@ -218,7 +218,7 @@
         for plan_share, count in zip(plan_shares, counts, strict=True):
             plan = plan_share.plan
             max_spread = min(high, options.gateways)
-            # The protocol limits the set so that the ceiling holds two requests per gateway.
+            # The protocol limits the set so that the ceiling holds two of the largest requests per gateway.
             if plan.ceiling_rate:
                 max_spread = min(max_spread, max(2, int(plan.ceiling_burst / (2 * MAX_UNITS))))
             spread = numpy_rng.integers(min(low, max_spread), max_spread + 1, count)
--- a/scale/measurements.py
+++ b/scale/measurements.py
@@ -15,8 +15,8 @@
 from .world import Options, World, play
 
 DEFAULT_PROCESSES = 4  # parallel simulations; each takes one core and several hundred MB
-# A fault has an effect in a second if the served share of the worth is lower by this.
-HARM_THRESHOLD_SHARE = 0.03
+# A fault has an effect in a second if the served share is lower by at least this than without the fault.
+EFFECT_THRESHOLD_SHARE = 0.03
 SMOOTHING_S = 2  # the served share is computed over this many seconds
 
 
@@ -353,7 +353,7 @@
         (1, [run for run in runs if run[0].alone]),
         (processes, sorted((run for run in runs if not run[0].alone), key=lambda run: -run[1])),
     ]
-    found: dict[tuple[str, int], dict] = {}
+    records: dict[tuple[str, int], dict] = {}
     for parallel, batch in batches:
         if not batch:
             continue
@@ -367,16 +367,16 @@
             }
             for future in as_completed(futures):
                 record, elapsed_s = future.result()
-                found[futures[future]] = record
+                records[futures[future]] = record
                 name, size = futures[future]
-                progress(f"{len(found)} of {len(runs)}: {name} {size:,} in {elapsed_s:.1f} s")
+                progress(f"{len(records)} of {len(runs)}: {name} {size:,} in {elapsed_s:.1f} s")
     return [
         Figure(
             f"{series.name}: {value.name}",
             value.unit,
             series.size_of,
             tuple(
-                (size, found[series.name, size][value.key])
+                (size, records[series.name, size][value.key])
                 for size in (series.short if short else series.sizes)
             ),
             series.about,
@@ -409,18 +409,25 @@
 
 def _simulate(options: Options) -> dict:
     world = World(options)
-    found = world.play()
-    return {"figures": found, "seconds": [(s.asked, s.served, s.beyond) for s in world.record.seconds]}
+    figures = world.play()
+    return {
+        "figures": figures,
+        "seconds": [(second.asked, second.served, second.beyond) for second in world.record.seconds],
+    }
 
 
-def _share_over(seconds: list, first: int, end_second: int, column: int) -> float:
-    asked = sum(second[0] for second in seconds[first:end_second])
-    return sum(second[column] for second in seconds[first:end_second]) / asked if asked else 0.0
+def _share_over(seconds: list, first_second: int, end_second: int, column: int) -> float:
+    asked = sum(second[0] for second in seconds[first_second:end_second])
+    return sum(second[column] for second in seconds[first_second:end_second]) / asked if asked else 0.0
 
 
-def _fault_effect(fault: str, options: Options, played: dict, baseline: dict) -> FaultEffect:
+def _fault_effect(fault: str, options: Options, with_fault: dict, baseline: dict) -> FaultEffect:
     start_second, fault_end_second = int(options.fault_at), int(options.fault_at + options.fault_for)
-    fault_seconds, baseline_seconds, end_second = played["seconds"], baseline["seconds"], int(options.seconds)
+    fault_seconds, baseline_seconds, end_second = (
+        with_fault["seconds"],
+        baseline["seconds"],
+        int(options.seconds),
+    )
     windows = [
         (
             second,
@@ -429,11 +436,11 @@
         )
         for second in range(start_second, end_second - SMOOTHING_S + 1)
     ]
-    record = played["figures"]
+    record = with_fault["figures"]
     affected_seconds = [
         second
         for second, served, baseline_served in windows
-        if served < baseline_served - HARM_THRESHOLD_SHARE
+        if served < baseline_served - EFFECT_THRESHOLD_SHARE
     ]
     return FaultEffect(
         fault,
