--- a/scale/clients.py
+++ b/scale/clients.py
@@ -61,7 +61,7 @@
 
 def calm_plans(rng: np.random.Generator) -> tuple[PlanShare, ...]:
     """Returns three plans with random rates and bursts; the largest has a ceiling and a concurrency limit."""
-    found = []
+    plan_shares = []
     for name, share, rate, burst_s, price, cost in (
         ("basico", 0.3, (1.6, 2.7), (3.2, 5.5), 0.72, 0.6),
         ("estandar", 0.44, (7.9, 14.0), (1.1, 2.7), 1.1, 0.6),
@@ -69,15 +69,15 @@
     ):
         plan_rate = float(rng.uniform(*rate))
         burst = max(2.0 * MAX_UNITS, plan_rate * float(rng.uniform(*burst_s)))
-        found.append(PlanShare(io.Plan(name, plan_rate, burst, price=price, overrun_cost=cost), share))
-    top = found[-1].plan
+        plan_shares.append(PlanShare(io.Plan(name, plan_rate, burst, price=price, overrun_cost=cost), share))
+    top = plan_shares[-1].plan
     ceiling_factor = float(rng.uniform(1.7, 2.4))
     concurrency = max(
         2, int(np.ceil(rng.uniform(2.0, 3.2) * top.rate / UNITS_PER_MEAN_REQUEST * MEAN_WORK_MS / 1000.0))
     )
     ceiling_burst = max(4.0 * MAX_UNITS, top.burst * ceiling_factor)
-    found[-1] = replace(
-        found[-1],
+    plan_shares[-1] = replace(
+        plan_shares[-1],
         plan=replace(
             top,
             max_concurrency=concurrency,
@@ -86,7 +86,7 @@
             ceiling_tolerance=max(0.1 * ceiling_burst, float(MAX_UNITS)),
         ),
     )
-    return tuple(found)
+    return tuple(plan_shares)
 
 
 def table_plan() -> tuple[PlanShare, ...]:
@@ -240,8 +240,10 @@
             ]
             self._customer_plans += [plan] * count
             # If only a part of the fleet is simulated, no set wraps around its end.
-            firsts = options.gateways - spread + 1 if options.fleet else np.full(count, options.gateways)
-            self._set_starts += numpy_rng.integers(0, firsts).tolist()
+            start_limits = (
+                options.gateways - spread + 1 if options.fleet else np.full(count, options.gateways)
+            )
+            self._set_starts += numpy_rng.integers(0, start_limits).tolist()
             self._set_sizes += spread.tolist()
             self._request_rates += (use * plan.rate / units).tolist()
         self._spike_customers = spikes
