--- a/cobaltline/gateway.py
+++ b/cobaltline/gateway.py
@@ -1,7 +1,7 @@
-"""The decisions of a gateway: quotas, choice of a backend, retries, hedging, limit on attempts in flight.
+"""Decides for one gateway; settings, events and actions are defined in `cobaltline/interface.py`.
 
+The decisions are about quotas, choice of a backend, retries, hedging and the limit on attempts in flight.
 `Gateway` does no I/O: the host passes in events with their time and carries out the actions that it returns.
-Settings, events and actions are defined in `cobaltline/interface.py`.
 """
 
 from __future__ import annotations
