--- a/emulator/servers.py
+++ b/emulator/servers.py
@@ -148,7 +148,7 @@
             return
         request, self._attempt = self._request, _ = recorded
         informed = world.knows_start(peer.machine.name, server.backend)
-        if server.backend.record_attempt(request.client_try.work_ms, informed):
+        if server.backend.count_attempt(request.client_try.work_ms, informed):
             world.stop_overloaded_backend(server.backend)
             return
         done_at = server.backend.serve(request.client_try.work_ms)
--- a/scale/backends.py
+++ b/scale/backends.py
@@ -76,8 +76,8 @@
         pending, self.pending_attempts = self.pending_attempts, set()
         return sorted(pending, key=lambda attempt: attempt.sequence)
 
-    def record_attempt(self, work_ms: float, informed: bool) -> bool:
-        """Records an attempt that has reached the backend; returns whether it overloads a cold backend.
+    def count_attempt(self, work_ms: float, informed: bool) -> bool:
+        """Counts an attempt that has reached the backend; returns whether it overloads a cold backend.
 
         `informed` says whether discovery has told the gateway of the backend's present start. With a budget
         of N mean requests per span, 2 * sqrt(N) + 2 more are tolerated as random variation.
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -265,7 +265,7 @@
             self._time_out(attempt)
             return
         informed = self._start_times_ms.get(backend.name, 0.0) >= backend.start_time_ms
-        if backend.record_attempt(attempt.client_try.work_ms, informed):
+        if backend.count_attempt(attempt.client_try.work_ms, informed):
             world.record.overloaded_cold_backends += 1
             if backend.informed_share() > OVERLOAD_INFORMED_SHARE:
                 self._add_violation("a cold backend pushed over")
--- a/tests/test_scale_standins.py
+++ b/tests/test_scale_standins.py
@@ -42,7 +42,7 @@
     backend.start()
     budget = FALL_MULTIPLE * 3 / 90.0 * 0.24 * 3000.0  # 72 requests of mean work within the span
     limit = int(budget + 2.0 * budget**0.5 + 2.0)
-    assert [backend.record_attempt(90.0, True) for _ in range(limit + 1)] == [False] * limit + [True]
+    assert [backend.count_attempt(90.0, True) for _ in range(limit + 1)] == [False] * limit + [True]
     assert backend.informed_share() == 1.0
 
 
