--- a/cobaltline/gateway.py
+++ b/cobaltline/gateway.py
@@ -26,25 +26,25 @@
 # Borrowing, counter calls and timeouts
 DIRECT_SHARE_GAIN = 0.002  # added by a successful counter call to the share of borrows sent to the counter
 DIRECT_SHARE_FAILURE_FACTOR = 0.5  # applied to that share by a failed call; home gateways get the rest
-HOME_RETRY_SHARE = 0.125  # of the bucket's fill time: least wait of a home gateway after a short borrow
-PEER_SKIP_MS = 1000.0  # a home gateway that does not answer is skipped for this time, or until it sends
+HOME_RETRY_SHARE = 0.125  # of the bucket's fill time: shortest wait of a home gateway after a short borrow
+PEER_SKIP_MS = 1000.0  # a home gateway that does not answer is skipped this long or until its next message
 # Messages between gateways: version, kind, nonce, amount (milli-tokens), wait (ms), sender's clock (ms), then
 # text, then the CRC-32 of all this
 MESSAGE_HEADER = struct.Struct(">BBIIII")
 MESSAGE_VERSION, BORROW_REQUEST, BORROW_GRANT, MAX_UINT32 = 1, 1, 2, 0xFFFFFFFF
 MIN_CALL_GAP_MS = 8.0  # between counter calls after a first failure; doubles with each further one
 MAX_CALL_GAP_MS = 800.0  # bounds the time until a counter that has recovered is called again
-GAP_DECREASE_FACTOR = 0.93  # of a successful call, at gaps up to the one set by the last first failure
-GAP_INCREASE_FACTOR = 1.1  # of a successful but slow call
-CONGESTED_DELAY_SHARE = 0.5  # of the counter timeout less the round trip: a longer delay shows a queue
-COUNTER_RTT_WEIGHT = 0.01  # of a slower answer in the round-trip estimate, as the counter may move away
+GAP_DECREASE_FACTOR = 0.93  # applied to the call gap after a success, if the gap is at most `failure_gap_ms`
+GAP_INCREASE_FACTOR = 1.1  # applied to the call gap after a successful but slow call
+CONGESTED_DELAY_SHARE = 0.5  # of the counter timeout less the round trip: a longer delay indicates a queue
+COUNTER_RTT_WEIGHT = 0.01  # of a slower answer in the round-trip estimate; the counter may have moved away
 MAX_CALL_DELAY_GAPS = 4.0  # longest delay of a small request's counter call, in call gaps
-THROTTLED_REFILL_SHARE = 0.5  # of the bucket, to be refilled before a retry while calls are spaced
+THROTTLED_REFILL_SHARE = 0.5  # of the bucket: level awaited before a retry while counter calls are spaced
 MAX_OVERRUN_COST_SHARE = 0.03  # of a counter call's price: expected overrun cost accepted to save the call
-INITIAL_OVERRUN_SHARE = 0.05  # of the requests admitted before they are counted
-MAX_UNCOUNTED_REQUESTS = 8  # of a customer, admitted before a call counts them
+INITIAL_OVERRUN_SHARE = 0.05  # initial value of `Gateway.overrun_share`
+MAX_UNCOUNTED_REQUESTS = 8  # requests of a customer admitted before a counter call reports them
 BORROW_AVERAGE_WEIGHT = 0.02  # of one sample in the running means over borrows
-TIMEOUT_DEVIATIONS = 4.0  # above the mean latency: then a backend's answer is overdue, as in TCP
+TIMEOUT_DEVIATIONS = 4.0  # above the mean latency, an answer of a backend is overdue, as in TCP
 MAX_PREVIOUS_TOTAL_TRIES = 3  # counter calls for the total of the previous window
 
 # Retries, hedging and the choice of a backend
@@ -53,8 +53,8 @@
 MAX_PENALTY_FACTOR = 8.0  # highest latency assumed of a failing backend, in target latencies
 FAILED_LOAD_FACTOR = 4.0  # weight of open attempts at a backend whose last attempt failed
 MAX_UNUSABLE_RESPONSES = 3  # in a row, without a penalty for the backend
-CROSS_ZONE_FACTOR = 1.15  # on the latency of backends in other zones, where crossing has a price
-# With more backends than this, candidates are sampled: own attempts tell too little of each backend.
+CROSS_ZONE_FACTOR = 1.15  # applied to the latency of backends in other zones if that traffic has a price
+# With more backends than this, candidates are sampled: own attempts say too little about each.
 SAMPLE_SIZE = 24
 MAX_CANDIDATES = 6  # drawn by present capacity
 CAPACITY_AVERAGE_WEIGHT = 0.02  # of one sample in the means of capacity and of the number of usable backends
@@ -68,11 +68,11 @@
 LIMIT_STEP_SHARE = 0.1  # largest change of the limit within one mean latency
 
 # Timers, random numbers and cleanup
-STALL_MS = 100.0  # a timer that runs later than this shows that the gateway itself was stalled
+STALL_MS = 100.0  # a timer that fires later than this indicates that the gateway process stalled
 CLOCK_SEED_MASK = 0x5BD1E995  # gives the fleet clock a random sequence of its own
 CUSTOMER_IDLE_MS = 10000.0  # idle customers are dropped after this time; also the interval between sweeps
 FILLED_CUSTOMER_IDLE_MS = 120000.0  # for customers whose bucket was well filled
-MAX_RESUBSCRIBE_DELAY_MS = 2500.0  # after a failed call for the list; changes have to be followed within 6 s
+MAX_RESUBSCRIBE_DELAY_MS = 2500.0  # after a failed request for the list; changes must be followed within 6 s
 
 
 class PeerBorrow:
@@ -123,7 +123,7 @@
         return next((a for a in self.attempts if a.may_have_run), None)
 
     def may_reject(self) -> bool:
-        """Whether a new try by the client is safe, so that the request may be rejected instead of failed."""
+        """Whether a retry by the client is safe, so that the request may be rejected instead of failed."""
         anywhere = (
             self.request_class.idempotency is Idempotency.KEYED and self.request_class.key_scope == "all"
         )
@@ -281,7 +281,7 @@
         """Charge a request to its bucket, or let it wait for tokens.
 
         Without tokens, a request is admitted at once if it may be counted later; otherwise tokens are
-        borrowed, unless the last borrow said to wait.
+        borrowed, unless the retry time given by the last borrow is still ahead.
         """
         bucket = request.bucket
         bucket.advance(now)
@@ -315,8 +315,8 @@
         """Whether a request may be admitted at once and counted afterwards.
 
         The bucket was well filled when last seen, and the request fits this gateway's part of it. Where that
-        part is smaller than the request, the expected cost of an overrun must be low beside the price of a
-        counter call.
+        part is smaller than the request, the expected cost of an overrun must be low compared with the
+        price of a counter call.
         """
         if not bucket.is_filled or bucket.quick_streak > 1 or self.call_gap_ms > 4.0 * MIN_CALL_GAP_MS:
             return False
@@ -436,10 +436,10 @@
         else:
             self.retry_waiting(now, bucket, True)
 
-    # The time that all gateways agree on, by which the windows of the counts are numbered
+    # The fleet's time, which all gateways share and by which the quota windows are numbered
 
     def wait_for_time(self, now: float, bucket: Bucket) -> None:
-        """Keep what waits until the fleet's time is known; decide locally if it cannot be read now."""
+        """Hold what waits until the fleet's time is known; decide locally if it cannot be read now."""
         self.read_fleet_time(now, needed=True)
         if self.fleet_clock.is_resolving(now):
             bucket.pending = 1
@@ -457,7 +457,7 @@
             self.actions.append(call)
 
     def on_stopping(self, now: float, _event: io.Stopping) -> None:
-        """Leave a checkpoint of the fleet's time for the next process."""
+        """Store a checkpoint of the fleet's time for the next process."""
         self.send_time_call(self.fleet_clock.stop(now))
 
     def schedule_time_read(self) -> None:
@@ -506,7 +506,7 @@
             self.read_fleet_time(now, needed=True)
 
     def call_delay_ms(self, bucket: Bucket) -> float:
-        """The delay of a bucket's call relative to the next free one, in ms; negative for an earlier call.
+        """The delay of a bucket's call relative to the next allowed one, in ms; negative for an earlier call.
 
         With calls spaced, those for large requests come first: they count more units and are worth more.
         """
@@ -627,7 +627,7 @@
                 False,
             )
         elif is_ok:
-            # Halving the gap after every success would settle where every second call fails.
+            # Halving the gap after every success would converge to a gap at which every second call fails.
             factor = 0.5 if self.call_gap_ms > self.failure_gap_ms else GAP_DECREASE_FACTOR
             self.call_gap_ms, self.last_call_failed = (
                 self.call_gap_ms * factor if self.call_gap_ms > MIN_CALL_GAP_MS else 0.0,
@@ -714,7 +714,7 @@
         """Keep the part of a lease that fits, and return the excess.
 
         The gateway that opens a window reads the total of the previous one. Returns whether what waits has to
-        wait for that: always under a ceiling, else if more than one request waits.
+        wait for that total: always under a ceiling, otherwise if more than one request waits.
         """
         was_filled = bucket.is_filled
         opens_window, amount = bucket.apply_total(now, total)
@@ -829,9 +829,9 @@
     def penalize(self, now: float, backend: TrackedBackend, min_latency_ms: float) -> None:
         """Raise the latency expected of a backend after a failure.
 
-        It at least doubles, up to a bound, and fades with time. So traffic leaves backends that are silent,
-        gone, stalled or full, or that fail at once and would look idle and fast. If all backends fail, none
-        is avoided. `min_latency_ms` is the time already spent waiting.
+        It at least doubles, up to a bound, and fades with time. This moves traffic away from backends that
+        are silent, gone, stalled or full, or that fail at once and would look idle and fast. If all backends
+        fail, none is avoided. `min_latency_ms` is the time already spent waiting.
         """
         max_latency_ms = MAX_PENALTY_FACTOR * max(self.min_target_ms, self.mean_latency_ms)
         backend.has_failed = True
@@ -847,14 +847,14 @@
 
     def may_send_to_cold(self, now: float, backend: TrackedBackend, warmth: float) -> bool:
         """Slow start: a cold backend gets the share `warmth` of the rate of a warm one."""
-        # If most backends have left, the remaining cold ones must not get the load of all.
+        # If most backends have left, the remaining cold ones must not get the load of the whole fleet.
         rate = self.send_rate / max(1.0, len(self.usable), self.min_sharing_backends()) * warmth
         return self.cold_pacer.may_send(backend, now, rate)
 
     def draw_candidates(self, now: float, request: Request) -> list[TrackedBackend]:
-        """Draw candidates from a large list, with odds by their present capacity.
+        """Draw candidates from a large list, with probability proportional to their present capacity.
 
-        A gateway of a large fleet sees too few attempts at each backend to tell its load, so the choices of
+        A gateway of a large fleet sees too few attempts at each backend to know its load, so the choices of
         all gateways have to add up to each backend's capacity. A cold backend is returned alone, with one
         chance for each request, so that it gets no more when other backends fail.
         """
@@ -881,7 +881,7 @@
     def pick_backend(self, now: float, request: Request) -> TrackedBackend | None:
         """Choose the backend for the next attempt; None if there is none.
 
-        The least loaded of the candidates by own open attempts, expected latency, weight and warm share.
+        This is the least loaded candidate by own open attempts, expected latency, weight and warm share.
         Backends that the request tried before are left out. A keyed request stays in the scope of its key
         and is not sent again after the key expires.
         """
@@ -958,7 +958,7 @@
             now + queue_ms * QUEUE_WAIT_FACTOR
             >= request.target_at - self.mean_latency_ms - self.latency_dev_ms
         ):
-            # Queued, it would miss its target.
+            # In the queue, it would miss its target.
             self.reject_or_fail(now, request)
         else:
             self.seq += 1
@@ -971,8 +971,8 @@
     def may_send_attempt(self, now: float) -> bool:
         """Whether one more attempt may be in flight.
 
-        A small limit is enforced as a rate: rounded up to one attempt at each gateway, it would bound
-        nothing.
+        A small limit is enforced as a rate: rounded up to one attempt at each gateway, it would have
+        no effect.
         """
         gained = self.attempt_limit / self.mean_latency_ms * (now - self.send_credit_at)
         self.send_credit, self.send_credit_at = min(PACING_LIMIT, self.send_credit + gained), now
@@ -1025,7 +1025,10 @@
             self.try_again(now, request)
 
     def try_again(self, now: float, request: Request, is_free: bool = False) -> bool:
-        """Send a further attempt if budget and time allow; `is_free` after one that was not executed."""
+        """Send a further attempt if budget and time allow.
+
+        `is_free` marks a retry after an attempt that was not executed; it takes nothing from the budget.
+        """
         is_exhausted = (
             len(request.attempts) >= self.settings.most_attempts or not is_free and self.retry_tokens < 1.0
         )
@@ -1115,7 +1118,7 @@
         steps, self.attempt_limit_at = min(5.0, (now - self.attempt_limit_at) / self.mean_latency_ms), now
         self.log_state(now, "backends crowded", self.latency_share > 1.2 * OVERLOAD_LATENCY_SHARE)
         if self.latency_share > OVERLOAD_LATENCY_SHARE:
-            # With one attempt at each backend the work itself is slow, and a lower limit does not help.
+            # With one attempt at each backend, the work itself is slow and a lower limit does not help.
             min_limit = len(self.usable) / max(1, self.settings.gateways)
             self.attempt_limit = max(
                 min_limit,
@@ -1168,7 +1171,7 @@
             self.reject_or_fail(now, request)
 
     def reject_or_fail(self, now: float, request: Request) -> None:
-        """Answer a request without a response: `Reject` where a new try is safe, else `Fail`."""
+        """Answer a request without a response: `Reject` where a retry is safe, else `Fail`."""
         self.finish(now, request, io.Reject(request.id) if request.may_reject() else io.Fail(request.id))
 
     def finish(self, now: float, request: Request, answer) -> None:
