--- a/elderhub/host.py
+++ b/elderhub/host.py
@@ -1,7 +1,8 @@
-"""Between the sockets and the module: events in, one at a time, and actions out.
+"""Connects the network code to the decision module.
 
-The only caller of `Gateway.handle`. Keeps the table of requests and sees to it that each gets exactly one
-final answer, and each `Send` exactly one `AttemptEnded`.
+`Host` is the only caller of `Gateway.handle`: it passes events in one at a time and carries out the returned
+actions. It keeps the table of open requests and guarantees that each request gets exactly one final answer
+and each `Send` exactly one `AttemptEnded`.
 """
 
 from __future__ import annotations
@@ -29,80 +30,101 @@
 
 log = logging.getLogger(__name__)
 
-# Descriptors that neither clients nor backends get: 24 are open at rest (loop, logs, listening, messages,
-# counter, discovery), a move doubles the last two, and a connection that ends holds its own for a moment.
-OWN_SOCKETS = 36
-CLIENT_SHARE, CLIENT_PART = 0.5, 0.6  # clients' connections: of all, and at most of what is left
-BACKEND_SHARE, BACKEND_PART = 0.3, 0.4  # and those to backends
-# entries of lists: what is kept of them is in no cycle, and with 26,000 a look costs 30 ms
+# Descriptors that are kept from clients and backends: 24 are open at rest (loop, logs, listening socket, peer
+# messages, counter, discovery), a reload to new addresses doubles those of the last two, and a closing
+# connection holds its descriptor until the loop's next turn.
+RESERVED_SOCKETS = 36
+# Client and backend connections: as a share of all descriptors, and at most of those not reserved.
+CLIENT_SOCKET_SHARE, CLIENT_UNRESERVED_SHARE = 0.5, 0.6
+BACKEND_SOCKET_SHARE, BACKEND_UNRESERVED_SHARE = 0.3, 0.4
+# List entries between two calls of gc.freeze(): what is kept of them is never in a cycle, and a collection
+# that walks a long list stops the loop.
 GC_FREEZE_ENTRIES = 512
 
 
 class Clock:
-    """Unix time in ms as it was at the start, carried by the monotonic clock: never goes backwards. It is out
-    of step with other machines where a wall clock was stepped."""
+    """Unix time in ms that never goes backwards: read once at the start and advanced by the monotonic clock.
+
+    It differs from that of other machines once a wall clock has been stepped.
+    """
 
     def __init__(self, system: System = REAL_SYSTEM) -> None:
         self._monotonic = system.monotonic
-        self.origin_ms = system.unix_time() * 1000.0 - system.monotonic() * 1000.0  # with the monotonic at 0
+        # Unix time at which the monotonic clock stood at 0.
+        self.origin_ms = system.unix_time() * 1000.0 - system.monotonic() * 1000.0
 
     def now_ms(self) -> float:
+        """Returns the current Unix time in ms."""
         return self.origin_ms + self._monotonic() * 1000.0
 
 
 class OpenRequest:
-    """A request that was taken, until its end was told to the module and no attempt is out."""
+    """An accepted request, kept until the module knows of its end and no attempt is outstanding.
+
+    `name` is the module's name for the request and becomes `id`; `request_id` is the client's X-Request-ID.
+    """
 
     __slots__ = (
         "id",
-        "name",
+        "request_id",
         "client",
         "message",
         "head",
-        "deadline",
-        "out",
-        "sends",
-        "ran",
-        "done",
-        "told",
+        "deadline_ms",
+        "exchanges",
+        "attempt_count",
+        "may_have_run",
+        "is_closed",
+        "is_reported",
         "timer",
     )
 
-    def __init__(self, name: str, client: Client, message: HttpRequest, deadline: float):
-        self.id, self.client, self.message, self.deadline = name, client, message, deadline
-        self.name = message.headers[REQUEST_ID_HEADER]
-        self.head = b""
-        self.out: dict[int, Exchange] = {}
-        self.sends = 0
-        self.ran = self.done = self.told = False  # an ended attempt may have run; final answer; module knows
+    def __init__(self, name: str, client: Client, message: HttpRequest, deadline_ms: float):
+        self.id, self.client, self.message, self.deadline_ms = name, client, message, deadline_ms
+        self.request_id = message.headers[REQUEST_ID_HEADER]
+        self.head = b""  # as forwarded to backends; built with the first attempt
+        self.exchanges: dict[int, Exchange] = {}
+        self.attempt_count = 0
+        # An ended attempt may have run; answered or disconnected; the module knows of the end.
+        self.may_have_run = self.is_closed = self.is_reported = False
         self.timer: asyncio.TimerHandle | None = None
 
 
 class Host:
+    """One gateway: the decision module and the network code around it.
+
+    It has to be created inside a running event loop; `elderhub.__main__.start_gateway` opens its sockets.
+    """
+
     def __init__(self, config: Config, system: System = REAL_SYSTEM):
         self._loop = asyncio.get_running_loop()
         self._clock = Clock(system)
         self.now_ms = self._clock.now_ms
-        left = config.sockets - OWN_SOCKETS
-        connections = int(min(config.sockets * BACKEND_SHARE, left * BACKEND_PART))  # to backends
-        # The module chooses who waits where there are fewer connections than it would send requests.
+        unreserved = config.sockets - RESERVED_SOCKETS
+        backend_connections = int(
+            min(config.sockets * BACKEND_SOCKET_SHARE, unreserved * BACKEND_UNRESERVED_SHARE)
+        )
+        # With the limit in its settings, the module queues the requests for which there is no connection.
         settings = dataclasses.replace(
             config.settings,
-            most_out=float(connections),
+            most_out=float(backend_connections),
             clocks_in_sync=False,
             clock_origin_ms=self._clock.origin_ms,
         )
         self._module = Gateway(settings, config.seed)
         self._requests: dict[str, OpenRequest] = {}
-        self._open_ids: set[bytes] = set()  # what their clients call them
+        self._open_ids: set[bytes] = set()  # the X-Request-ID of each open request
         self._last_request_number = 0
         self._events: deque = deque()
-        self._busy = False
-        self._entries = 0  # of lists, since what is kept of them was taken out of the collector's sight
+        self._is_dispatching = False
+        self._entries_since_freeze = 0  # list entries received since the last gc.freeze()
         self.clients = Clients(
-            self, settings, int(min(config.sockets * CLIENT_SHARE, left * CLIENT_PART)), system
+            self,
+            settings,
+            int(min(config.sockets * CLIENT_SOCKET_SHARE, unreserved * CLIENT_UNRESERVED_SHARE)),
+            system,
         )
-        self.backends = Backends(settings, config.keepalive_ms, connections, system)
+        self.backends = Backends(settings, config.keepalive_ms, backend_connections, system)
         self.counter = (
             CounterClient(config.counter, settings.counter_timeout_ms, self.dispatch)
             if config.counter
@@ -122,199 +144,213 @@
             io.Reject: self._reject,
             io.Fail: self._fail,
             io.Cancel: self._cancel,
-            io.CounterAdd: self._count,
+            io.CounterAdd: self._add_to_counter,
             io.SetTimer: self._set_timer,
             io.SendPeerMessage: self.peers.send,
             io.Probe: self._probe,
-            io.CloseIdle: lambda a: self.backends.close_idle(a.backend),
-            io.Subscribe: lambda a: self.discovery.restart(),
-            io.Log: lambda a: log.info("%s", a.text),
-            io.Fetch: lambda a: self.discovery.restart(full=True),
+            io.CloseIdle: lambda action: self.backends.close_idle(action.backend),
+            io.Subscribe: lambda action: self.discovery.restart(),
+            io.Log: lambda action: log.info("%s", action.text),
+            io.Fetch: lambda action: self.discovery.restart(full=True),
         }
 
-    # Events in, actions out.
+    # Events and actions.
 
     def dispatch(self, event) -> None:
-        """Hand an event to the module, after those that came before it and their actions."""
+        """Passes an event to the module, after all earlier events and their actions."""
         self._events.append(event)
-        if self._busy:
+        if self._is_dispatching:
             return
-        self._busy = True
+        self._is_dispatching = True
         try:
             while self._events:
-                self._step(self._events.popleft())
+                self._process(self._events.popleft())
         finally:
-            self._busy = False
+            self._is_dispatching = False
 
-    def _step(self, event) -> None:
+    def _process(self, event) -> None:
         try:
             actions = self._module.handle(self.now_ms(), event)
         except Exception:
-            log.exception("the module failed on %r", event)
-            # What it had decided by then is carried out, or calls would be missing that it waits for.
+            log.exception(
+                "the decision module failed on %r; its request, if any, is answered with 500", event
+            )
+            # Actions decided before the failure are still carried out: the module awaits their results.
             actions, self._module.actions = self._module.actions, []
-            self._give_up(getattr(event, "request", ""))
+            self._abort_request(getattr(event, "request", ""))
             self._loop.call_later(0.05, self.dispatch, io.TimerFired(""))
         for action in actions:
             try:
                 self._action_handlers[type(action)](action)
             except Exception:
-                log.exception("failed on %r", action)
-                self._give_up(getattr(action, "request", ""))
+                log.exception("action %r failed; its request, if any, is answered with 500", action)
+                self._abort_request(getattr(action, "request", ""))
         kind = type(event)
         if kind is io.ClientDisconnected or kind is io.AttemptEnded:
-            held = self._requests.get(event.request)
-            if held is not None:
-                held.told = held.told or held.done
-                self._forget(held)
+            request = self._requests.get(event.request)
+            if request is not None:
+                request.is_reported = request.is_reported or request.is_closed
+                self._remove_if_finished(request)
 
-    def _forget(self, held: OpenRequest) -> None:
-        if held.told and not held.out and self._requests.pop(held.id, None) is not None:
-            self._open_ids.discard(held.name)
+    def _remove_if_finished(self, request: OpenRequest) -> None:
+        if request.is_reported and not request.exchanges and self._requests.pop(request.id, None) is not None:
+            self._open_ids.discard(request.request_id)
 
     # Requests.
 
     def handle_request(self, client: Client, message: HttpRequest, event: io.RequestArrived) -> None:
-        # its attempts would be taken for second copies of the other's
+        """Accepts a parsed request and passes it to the module; raises RequestError if its id is in use."""
+        # Backends would take its attempts for duplicates of the open request's.
         if message.headers[REQUEST_ID_HEADER] in self._open_ids:
             raise RequestError(409, "a request of this id is open")
         self._open_ids.add(message.headers[REQUEST_ID_HEADER])
         self._last_request_number += 1
         event.request = f"{self._last_request_number}"
-        held = self._requests[event.request] = OpenRequest(event.request, client, message, event.deadline_ms)
-        client.open_request = held
+        request = self._requests[event.request] = OpenRequest(
+            event.request, client, message, event.deadline_ms
+        )
+        client.open_request = request
         wait_s = (event.deadline_ms - self.now_ms()) / 1000.0
-        held.timer = self._loop.call_later(max(0.0, wait_s), self._overdue, held)
+        request.timer = self._loop.call_later(max(0.0, wait_s), self._on_deadline, request)
         self.dispatch(event)
 
     def client_disconnected(self, client: Client) -> None:
-        held, client.open_request = client.open_request, None
-        if self._close(held):
-            self.dispatch(io.ClientDisconnected(held.id))
-
-    def _wanted(self, held: OpenRequest) -> bool:
-        """Whether the request is still open and its client there: asked before each send."""
-        if not held.done and held.client.has_disconnected():
-            self.client_disconnected(held.client)
-        return not held.done
-
-    def _close(self, held: OpenRequest) -> bool:
-        """Whether the request was still open. It is not from here on."""
-        if held.done:
+        """Ends the open request of a client that has left."""
+        request, client.open_request = client.open_request, None
+        if self._close(request):
+            self.dispatch(io.ClientDisconnected(request.id))
+
+    def _is_wanted(self, request: OpenRequest) -> bool:
+        """Whether the request is still open and its client still connected; checked before each send."""
+        if not request.is_closed and request.client.has_disconnected():
+            self.client_disconnected(request.client)
+        return not request.is_closed
+
+    def _close(self, request: OpenRequest) -> bool:
+        """Closes the request; returns whether it was still open."""
+        if request.is_closed:
             return False
-        held.done = True
-        held.timer.cancel()
-        for exchange in list(held.out.values()):
+        request.is_closed = True
+        request.timer.cancel()
+        for exchange in list(request.exchanges.values()):
             exchange.withdraw_if_unsent()
         return True
 
-    def _answer(self, held: OpenRequest, status: int, body: bytes = b"", headers: bytes = b"") -> bool:
-        """The final answer, unless there was one."""
-        if not self._close(held):
+    def _answer(self, request: OpenRequest, status: int, body: bytes = b"", headers: bytes = b"") -> bool:
+        """Sends the final answer unless the request is closed; returns whether it was sent."""
+        if not self._close(request):
             return False
-        client = held.client
+        client = request.client
         client.open_request = None
         client.respond(status, body, headers)
         return True
 
-    def _overdue(self, held: OpenRequest) -> None:
-        """The module answers before this; it guards against an error there."""
-        if not held.done:
-            log.error("request %s was not answered in time", held.id)
-            self._give_up(held.id)
+    def _on_deadline(self, request: OpenRequest) -> None:
+        """Guards against an error in the module, which answers every request before its deadline."""
+        if not request.is_closed:
+            log.error("request %s was not answered in time; answering 500", request.id)
+            self._abort_request(request.id)
 
-    def _give_up(self, name: str) -> None:
-        held = self._requests.get(name)
-        if held is not None and self._answer(held, 500):
+    def _abort_request(self, name: str) -> None:
+        request = self._requests.get(name)
+        if request is not None and self._answer(request, 500):
             self.dispatch(io.ClientDisconnected(name))
 
     def _reject(self, action: io.Reject) -> None:
-        held = self._requests.get(action.request)
-        if held is None:
+        request = self._requests.get(action.request)
+        if request is None:
             return
         if action.retry_after_ms > 0:
-            self._answer(held, 429, b"", b"Retry-After: %.3f\r\n" % (action.retry_after_ms / 1000.0))
+            self._answer(request, 429, b"", b"Retry-After: %.3f\r\n" % (action.retry_after_ms / 1000.0))
         else:
-            self._answer(held, 503)
-        held.told = True
-        self._forget(held)
+            self._answer(request, 503)
+        request.is_reported = True
+        self._remove_if_finished(request)
 
     def _fail(self, action: io.Fail) -> None:
-        held = self._requests.get(action.request)
-        if held is not None:
-            self._answer(held, 502)
-            held.told = True
-            self._forget(held)
+        request = self._requests.get(action.request)
+        if request is not None:
+            self._answer(request, 502)
+            request.is_reported = True
+            self._remove_if_finished(request)
 
     # Attempts.
 
     def _send(self, action: io.Send) -> None:
-        held = self._requests.get(action.request)
-        if held is None or not self._wanted(held):  # it ended while this was being decided
-            number = held.sends if held else 0
-            if held:
-                held.sends += 1
-            self.dispatch(io.AttemptEnded(action.request, number, action.backend, io.Outcome.NOT_SENT, True))
+        request = self._requests.get(action.request)
+        if request is None or not self._is_wanted(request):  # the request ended after the module decided
+            attempt_number = request.attempt_count if request else 0
+            if request:
+                request.attempt_count += 1
+            self.dispatch(
+                io.AttemptEnded(action.request, attempt_number, action.backend, io.Outcome.NOT_SENT, True)
+            )
             return
         now = self.now_ms()
-        until = min(action.deadline_ms or held.deadline, held.deadline)
-        if not held.head:
-            held.head = held.message.head()
-        until_s = self._loop.time() + (until - now) / 1000.0
-        exchange = Exchange(action.backend, held.head, held.message.body, until_s, self._ended)
-        exchange.request, exchange.attempt_number, exchange.started_ms = held, held.sends, now
-        exchange.is_wanted = functools.partial(self._wanted, held)
-        held.out[held.sends] = exchange
-        held.sends += 1
+        deadline_ms = min(action.deadline_ms or request.deadline_ms, request.deadline_ms)
+        if not request.head:
+            request.head = request.message.head()
+        deadline_s = self._loop.time() + (deadline_ms - now) / 1000.0
+        exchange = Exchange(
+            action.backend, request.head, request.message.body, deadline_s, self._attempt_ended
+        )
+        exchange.request, exchange.attempt_number, exchange.started_ms = request, request.attempt_count, now
+        exchange.is_wanted = functools.partial(self._is_wanted, request)
+        request.exchanges[request.attempt_count] = exchange
+        request.attempt_count += 1
         self.backends.send(exchange)
 
-    def _ended(self, exchange: Exchange) -> None:
-        held = exchange.request
-        del held.out[exchange.attempt_number]
+    def _attempt_ended(self, exchange: Exchange) -> None:
+        request = exchange.request
+        del request.exchanges[exchange.attempt_number]
         outcome = exchange.outcome
         if outcome is io.Outcome.OK:
-            self._answer(held, 200, exchange.response_body, exchange.response_headers)
-        held.ran = held.ran or outcome not in io.NEVER_RAN
+            self._answer(request, 200, exchange.response_body, exchange.response_headers)
+        request.may_have_run = request.may_have_run or outcome not in io.NEVER_RAN
         self.dispatch(
             io.AttemptEnded(
-                held.id,
+                request.id,
                 exchange.attempt_number,
                 exchange.backend,
                 outcome,
-                held.done,
+                request.is_closed,
                 self.now_ms() - exchange.started_ms,
                 report=parse_load_report(exchange.load_report),
             )
         )
 
     def _cancel(self, action: io.Cancel) -> None:
-        held = self._requests.get(action.request)
-        exchange = held.out.get(action.attempt) if held else None
+        request = self._requests.get(action.request)
+        exchange = request.exchanges.get(action.attempt) if request else None
         if exchange is not None:
             exchange.abandon(io.Outcome.CANCELLED)
 
-    # All else.
+    # Discovery, the counter, timers and probes.
 
     def set_addresses(self, discovery: Address, counter: Address | None) -> None:
-        """Discovery and the counter are elsewhere now."""
+        """Moves discovery and the counter to new addresses, as a reload of the configuration asks for."""
         self.discovery.set_address(discovery)
         if self.counter is not None and counter is not None:
             self.counter.set_address(counter)
 
-    def apply_listing(self, found: Listing) -> None:
-        if not found.event.backends and found.event.kind is io.ListKind.DELTA:
+    def apply_listing(self, listing: Listing) -> None:
+        """Applies a list of backends or a change to one; an empty change is ignored.
+
+        Retired pools close only after the module knows of the change: it would retry on them otherwise.
+        """
+        if not listing.event.backends and listing.event.kind is io.ListKind.DELTA:
             return
-        parted = self.backends.apply_listing(found)
-        self.dispatch(found.event)
-        for pool in parted:
+        retired = self.backends.apply_listing(listing)
+        self.dispatch(listing.event)
+        for pool in retired:
             pool.close()
-        self._entries += len(found.event.backends)
-        if self._entries >= GC_FREEZE_ENTRIES:
-            self._entries = 0
+        self._entries_since_freeze += len(listing.event.backends)
+        if self._entries_since_freeze >= GC_FREEZE_ENTRIES:
+            self._entries_since_freeze = 0
             gc.collect(1)
             gc.freeze()
 
-    def _count(self, action: io.CounterAdd) -> None:
+    def _add_to_counter(self, action: io.CounterAdd) -> None:
         if self.counter is None:
             self.dispatch(io.CounterResult(action.name, io.Outcome.CONNECT_FAILED))
         else:
@@ -322,39 +358,46 @@
 
     def _set_timer(self, action: io.SetTimer) -> None:
         delay_s = math.ceil(max(0.0, action.delay_ms)) / 1000.0
-        self._loop.call_later(delay_s, self._wake, action.token, self.now_ms() + action.delay_ms)
-
-    def _wake(self, token: str, due: float) -> None:
-        """Never early: the loop counts whole milliseconds from a time it looked up a while ago, and the
-        module takes a timer that fired too soon for one still to come, and waits for that for ever."""
-        left = due - self.now_ms()
-        if left > 0.0:
-            self._loop.call_later(math.ceil(left) / 1000.0, self._wake, token, due)
+        self._loop.call_later(delay_s, self._on_timer, action.token, self.now_ms() + action.delay_ms)
+
+    def _on_timer(self, token: str, due_ms: float) -> None:
+        """Fires a timer, never early.
+
+        The loop counts whole milliseconds from a cached time, so a callback may run too soon, and the module
+        ignores a timer that fires before it is due and would wait for it forever.
+        """
+        remaining_ms = due_ms - self.now_ms()
+        if remaining_ms > 0.0:
+            self._loop.call_later(math.ceil(remaining_ms) / 1000.0, self._on_timer, token, due_ms)
         else:
             self.dispatch(io.TimerFired(token))
 
     def _probe(self, action: io.Probe) -> None:
-        began = self.now_ms()
+        started_ms = self.now_ms()
 
-        def done(exchange: Exchange) -> None:
-            figures = parse_load_report(exchange.load_report or exchange.response_body)
-            self.dispatch(io.ProbeResult(action.backend, exchange.outcome, self.now_ms() - began, figures))
+        def on_done(exchange: Exchange) -> None:
+            report = parse_load_report(exchange.load_report or exchange.response_body)
+            self.dispatch(
+                io.ProbeResult(action.backend, exchange.outcome, self.now_ms() - started_ms, report)
+            )
 
-        self.backends.probe(action.backend, done)
+        self.backends.probe(action.backend, on_done)
 
-    # The end.
+    # Shutdown.
 
     def start_draining(self) -> None:
-        """The process was told to end: it serves what it has."""
+        """Starts to drain: open requests are finished, and clients are asked to reconnect elsewhere."""
         self.dispatch(io.Stopping())
         self.clients.start_draining()
 
     def answer_open_requests(self) -> None:
-        """The last moment: what is still open is answered by the rules, refused only if it can't have run."""
+        """Answers what is still open when a drain ends: 503 where no attempt can have run, else 502."""
         self.clients.is_stopped = True
-        for held in list(self._requests.values()):
-            if not held.done:
-                ran = held.ran or any(exchange.is_sent for exchange in held.out.values())
-                self._answer(held, 502 if ran else 503)
-            for exchange in list(held.out.values()):
+        for request in list(self._requests.values()):
+            if not request.is_closed:
+                may_have_run = request.may_have_run or any(
+                    exchange.is_sent for exchange in request.exchanges.values()
+                )
+                self._answer(request, 502 if may_have_run else 503)
+            for exchange in list(request.exchanges.values()):
                 exchange.abandon(io.Outcome.CANCELLED)
