--- a/elderhub/arrival.py
+++ b/elderhub/arrival.py
@@ -1,5 +1,8 @@
-"""When a request came, as far as that can be told: it may have lain unread while the gateway was held up, or
-its connection may have waited in the queue of the listening socket."""
+"""Estimates when a request arrived.
+
+It may have lain unread while the event loop was stalled, or its connection may have waited in the queue of
+the listening socket. A deadline counts from the arrival, not from the read.
+"""
 
 from __future__ import annotations
 
@@ -9,54 +12,62 @@
 
 from .system import System
 
-LOOK_S = 0.05  # between two looks whether the loop was held up
-HELD_UP_MS = 20.0  # a look that is later than this shows that it was
-AT_ONCE_MS = 20.0  # what is read so soon after its connection was taken in may have come before
+CHECK_INTERVAL_S = 0.05  # between two checks for a stall of the event loop
+STALL_THRESHOLD_MS = 20.0  # a check that is later than this shows a stall
+PROMPT_READ_MS = 20.0  # input read so soon after the accept may have arrived before it
 
 
 class ArrivalEstimator:
-    """Tells since when what is being read now may have been there. Times are in ms of `now`."""
+    """Estimates since when the input that is being read now may have been there.
+
+    `now_ms` is the clock that all times in ms here are of.
+    """
 
-    def __init__(self, system: System, now: Callable[[], float]):
-        self._loop, self._system, self._now = asyncio.get_running_loop(), system, now
-        self._looked_at = now()
-        self._held_up_since: float | None = None  # until the next look
-        self._closed_since: float | None = None  # connections wait to be taken in
+    def __init__(self, system: System, now_ms: Callable[[], float]):
+        self._loop, self._system, self._now_ms = asyncio.get_running_loop(), system, now_ms
+        self._checked_at_ms = now_ms()
+        self._stalled_since_ms: float | None = None  # start of the last stall, until the next check
+        self._accept_paused_since_ms: float | None = None
 
     def start(self) -> None:
-        self._look()
+        """Starts the periodic checks for a stall."""
+        self._check()
 
-    def _look(self) -> None:
-        now = self._now()
-        self._held_up_since = self._looked_at if self._held_up(now) else None
-        self._looked_at = now
-        self._loop.call_later(LOOK_S, self._look)
+    def _check(self) -> None:
+        now_ms = self._now_ms()
+        self._stalled_since_ms = self._checked_at_ms if self._is_stalled(now_ms) else None
+        self._checked_at_ms = now_ms
+        self._loop.call_later(CHECK_INTERVAL_S, self._check)
 
-    def _held_up(self, now: float) -> bool:
-        return now - self._looked_at > LOOK_S * 1000.0 + HELD_UP_MS
+    def _is_stalled(self, now_ms: float) -> bool:
+        return now_ms - self._checked_at_ms > CHECK_INTERVAL_S * 1000.0 + STALL_THRESHOLD_MS
 
     def on_accept_paused(self) -> None:
-        """No connection is taken in from here on."""
-        if self._closed_since is None:
-            self._closed_since = self._now()
+        """Notes that connections wait in the queue of the listening socket from now on."""
+        if self._accept_paused_since_ms is None:
+            self._accept_paused_since_ms = self._now_ms()
 
     def on_backlog_drained(self) -> None:
-        """None waits any more."""
-        self._closed_since = None
+        """Notes that the queue of the listening socket is empty."""
+        self._accept_paused_since_ms = None
 
     def backlogged_since_ms(self) -> float | None:
-        """Since when a connection that is taken in now may have waited; none where it has not."""
-        return self._closed_since
+        """Returns since when a connection accepted now may have waited; None if it has not."""
+        return self._accept_paused_since_ms
 
     def earliest_arrival_ms(
-        self, sock: socket.socket, taken_in_at: float, waited_since: float | None
+        self, sock: socket.socket, accepted_at_ms: float, backlogged_since_ms: float | None
     ) -> float:
-        """When what was read last may have come, at the earliest. The system may know it better."""
-        now = self._now()
-        since = self._looked_at if self._held_up(now) else self._held_up_since
-        if waited_since is not None and now - taken_in_at <= AT_ONCE_MS:
-            since = min(waited_since, now if since is None else since)
-        if since is None:
-            return now
-        quiet_ms = self._system.received_ago_ms(sock)
-        return since if quiet_ms is None else min(now, max(since, now - quiet_ms))
+        """Returns the earliest time at which the input read last may have arrived.
+
+        `accepted_at_ms` and `backlogged_since_ms` are those of its connection. The time of the last received
+        segment, where the system tells it, narrows the estimate.
+        """
+        now_ms = self._now_ms()
+        since_ms = self._checked_at_ms if self._is_stalled(now_ms) else self._stalled_since_ms
+        if backlogged_since_ms is not None and now_ms - accepted_at_ms <= PROMPT_READ_MS:
+            since_ms = min(backlogged_since_ms, now_ms if since_ms is None else since_ms)
+        if since_ms is None:
+            return now_ms
+        received_ago_ms = self._system.received_ago_ms(sock)
+        return since_ms if received_ago_ms is None else min(now_ms, max(since_ms, now_ms - received_ago_ms))
--- a/elderhub/host.py
+++ b/elderhub/host.py
@@ -70,7 +70,7 @@
         "client",
         "message",
         "head",
-        "deadline_ms",
+        "client_deadline_ms",
         "exchanges",
         "attempt_count",
         "may_have_run",
@@ -80,7 +80,7 @@
     )
 
     def __init__(self, name: str, client: Client, message: HttpRequest, deadline_ms: float):
-        self.id, self.client, self.message, self.deadline_ms = name, client, message, deadline_ms
+        self.id, self.client, self.message, self.client_deadline_ms = name, client, message, deadline_ms
         self.request_id = message.headers[REQUEST_ID_HEADER]
         self.head = b""  # as forwarded to backends; built with the first attempt
         self.exchanges: dict[int, Exchange] = {}
@@ -287,7 +287,7 @@
             )
             return
         now = self.now_ms()
-        deadline_ms = min(action.deadline_ms or request.deadline_ms, request.deadline_ms)
+        deadline_ms = min(action.deadline_ms or request.client_deadline_ms, request.client_deadline_ms)
         if not request.head:
             request.head = request.message.head()
         deadline_s = self._loop.time() + (deadline_ms - now) / 1000.0
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -312,7 +312,7 @@
     async def scene():
         async with Inside(tmp_path, more=1) as w:
             w.gate.open.set()
-            w.host.clients._listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            w.host.clients._listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             client = socket.socket()
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             await asyncio.to_thread(client.connect, (HOST, w.listen))
