--- a/elderhub/backends.py
+++ b/elderhub/backends.py
@@ -1,4 +1,4 @@
-"""Connections to backends, and what goes over them: attempts and probes."""
+"""Connection pools to backends, and the attempts and probes that go over them."""
 
 from __future__ import annotations
 
@@ -18,17 +18,21 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_SHARE = 0.5  # of the backends' own idle limit, after which a connection is no longer used
-MAX_CONNECTIONS_PER_BACKEND = 64  # connections to one backend
-BODY_S = 0.5  # an answer whose body is not whole so long after its head is not waited for
-REUSE_DELAY_S = 0.02  # a connection is used again after this: a second answer may come some milliseconds late
-SENT_MOST = 2 * MAX_MESSAGE_BYTES  # bytes of one answer, with all that announces and frames it
+IDLE_TIMEOUT_SHARE = 0.5  # of the backends' keepalive time, after which a connection is no longer used
+MAX_CONNECTIONS_PER_BACKEND = 64
+BODY_TIMEOUT_S = 0.5  # from the head of a response to the end of its body
+REUSE_DELAY_S = 0.02  # before a connection is reused, since surplus data may arrive after a response
+MAX_RESPONSE_BYTES = 2 * MAX_MESSAGE_BYTES  # raw, including heads, interim responses and chunk framing
 SWEEP_INTERVAL_S = 1.0
-OWN_HEADERS = HOP_BY_HOP_HEADERS | {b"content-length", b"x-server-load", b"x-not-processed"}
+UNRETURNED_HEADERS = HOP_BY_HOP_HEADERS | {b"content-length", b"x-server-load", b"x-not-processed"}
 
 
 class Exchange:
-    """One request to one backend. Ends exactly once, by a call of `on_done` with the exchange itself."""
+    """One request to one backend and its response, an attempt or a probe.
+
+    It ends exactly once, by a call of `on_done` with the exchange itself. `deadline_s` is in loop time.
+    `request`, `attempt_number` and `started_ms` belong to the caller.
+    """
 
     __slots__ = (
         "backend",
@@ -60,14 +64,16 @@
             deadline_s,
             on_done,
         )
-        self.connection: Connection | None = None  # once the request is being written
-        self.is_sent = False  # its last byte has left our buffer: from here on it may run
+        self.connection: Connection | None = None  # from the start of writing the request
+        self.is_sent = False  # the last byte has left the write buffer: the backend may run it from now on
         self.is_done, self.outcome = False, io.Outcome.TIMEOUT
         self.response_headers, self.response_body, self.load_report = b"", b"", None
         self.timer: asyncio.TimerHandle | None = None
-        self.is_wanted: Callable[[], bool] | None = None  # where it is not, its request withdraws it
+        # Whether the request still needs the response, asked once a new connection is open.
+        self.is_wanted: Callable[[], bool] | None = None
 
     def end(self, outcome: io.Outcome) -> None:
+        """Ends the exchange with an outcome; has no effect once it has ended."""
         if self.is_done:
             return
         self.is_done, self.outcome = True, outcome
@@ -76,55 +82,58 @@
         self.on_done(self)
 
     def abandon(self, outcome: io.Outcome) -> None:
-        """Stop waiting. A connection that may still bring the answer is of no use to anybody else."""
+        """Stops waiting and closes the connection, on which the response may still arrive."""
         if self.connection is not None and not self.is_done:
             self.connection.abort()
         self.end(outcome)
 
     def withdraw_if_unsent(self) -> None:
-        """Its request is over. What was not sent whole is no attempt yet, and does not become one."""
+        """Abandons the exchange unless its request has been sent completely and counts as an attempt."""
         if not self.is_sent:
             self.abandon(io.Outcome.NOT_SENT)
 
     def on_timeout(self) -> None:
+        """Abandons the exchange at its deadline."""
         self.abandon(io.Outcome.TIMEOUT if self.is_sent else io.Outcome.CONNECT_FAILED)
 
 
 class Connection(asyncio.Protocol):
-    """One connection; carries one exchange at a time."""
+    """One connection to a backend; carries one exchange at a time, `first` as soon as it is open."""
 
     def __init__(self, pool: Pool, first: Exchange | None):
-        self._pool, self._first = pool, first
+        self._pool, self._first_exchange = pool, first
         self._transport: asyncio.Transport | None = None
         self._exchange: Exchange | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._poll = pool.poll()
         self._headers: list[bytes] = []
         self._body: list[bytes] = []
-        self._unread = self._size = 0  # bytes since the request was written; of the body
-        self._length: bytes | None = None
-        self._status, self._never_ran, self._reports = 0, False, []
-        self._chunked = self._headed = self._until_end = False
-        self._whole = self._extra = self._lasts = False  # an answer is there; and more; may be used again
-        self._stalled: asyncio.TimerHandle | None = None
+        self._received_bytes = self._body_bytes = 0  # raw, since the request was written; of the body
+        self._content_length: bytes | None = None
+        self._status, self._not_processed, self._load_reports = 0, False, []
+        self._is_chunked = self._has_head = self._ends_with_connection = False
+        # A complete response has been read; data after it too; the connection may be reused.
+        self._is_complete = self._has_excess = self._keeps_alive = False
+        self._body_timer: asyncio.TimerHandle | None = None
         self.idle_since = 0.0
 
     def connection_made(self, transport) -> None:
         self._transport = transport
-        # A write goes out at once; what the socket does not take is told of when it has left, however little.
+        # With no low-water mark, `resume_writing` is called only once the whole buffer has been sent.
         transport.set_write_buffer_limits(0)
         self._poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
-        first, self._first = self._first, None
-        self._pool.opened(self, first)
+        first, self._first_exchange = self._first_exchange, None
+        self._pool.connection_opened(self, first)
 
     def start(self, exchange: Exchange) -> None:
+        """Writes the request of an exchange."""
         self._exchange, exchange.connection = exchange, self
-        self._status, self._whole, self._headed, self._until_end = 0, False, False, False
-        self._unread = 0
+        self._status, self._is_complete, self._has_head, self._ends_with_connection = 0, False, False, False
+        self._received_bytes = 0
         wait_s = max(0.001, exchange.deadline_s - self._pool.loop.time())
         head = exchange.head + b"X-Timeout: %.3f\r\n\r\n" % wait_s
         self._transport.write(head + exchange.body if exchange.body else head)
-        if self._transport.is_closing():  # it failed at once; `connection_lost` is on its way
+        if self._transport.is_closing():  # the write failed; `connection_lost` follows
             return
         if self._transport.get_write_buffer_size() == 0:
             exchange.is_sent = True
@@ -134,150 +143,159 @@
             self._exchange.is_sent = True
 
     def data_received(self, data: bytes) -> None:
-        if self._exchange is None:  # nothing was asked: whatever this is, it answers no later request
+        if self._exchange is None:  # unsolicited data must not be taken for the next response
             self.abort()
             return
-        self._unread += len(data)
+        self._received_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            if not self._whole:
+            if not self._is_complete:
                 self._end(io.Outcome.UNUSABLE_RESPONSE)
                 return
-            self._extra = True
-        if self._whole:
-            self._answered()
-        elif self._unread > (SENT_MOST if self._headed else MAX_MESSAGE_BYTES):
-            # a head or a trailer without end, which no callback tells of
+            self._has_excess = True
+        if self._is_complete:
+            self._finish_response()
+        elif self._received_bytes > (MAX_RESPONSE_BYTES if self._has_head else MAX_MESSAGE_BYTES):
+            # An endless head or trailer triggers no callback of the parser.
             self._end(io.Outcome.UNUSABLE_RESPONSE)
-        elif self._headed and self._stalled is None:
-            self._stalled = self._pool.loop.call_later(BODY_S, self._stands)
+        elif self._has_head and self._body_timer is None:
+            self._body_timer = self._pool.loop.call_later(BODY_TIMEOUT_S, self._on_body_timeout)
 
-    def _stands(self) -> None:
-        """Nothing says whether an answer that is too short will go on: it is not waited for for ever."""
-        self._stalled = None
+    def _on_body_timeout(self) -> None:
+        """Gives up on a response whose body is not complete in time."""
+        self._body_timer = None
         if self._exchange is None:
             return
-        if self._poll.poll(0):  # we stood still ourselves: look at what has come meanwhile
-            self._stalled = self._pool.loop.call_later(0.001, self._stands)
+        if self._poll.poll(0):  # the loop was stalled: read what has arrived first
+            self._body_timer = self._pool.loop.call_later(0.001, self._on_body_timeout)
         else:
             self._end(io.Outcome.UNUSABLE_RESPONSE)
 
     def on_message_begin(self) -> None:
-        if self._whole:
-            raise ValueError("more than was asked for")  # the answer before it stands
-        self._headers, self._body, self._size = [], [], 0
-        self._length, self._chunked, self._headed, self._until_end = None, False, False, False
-        self._status, self._never_ran, self._reports = 0, False, []
+        if self._is_complete:
+            raise ValueError("data after the response")  # the response itself stands
+        self._headers, self._body, self._body_bytes = [], [], 0
+        self._content_length, self._is_chunked, self._has_head, self._ends_with_connection = (
+            None,
+            False,
+            False,
+            False,
+        )
+        self._status, self._not_processed, self._load_reports = 0, False, []
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        low = name.lower()
-        if low == b"content-length":
-            self._length = value
-        elif low == b"transfer-encoding":
-            self._chunked = value.lower() == b"chunked"
-            if not self._chunked:
-                raise ValueError("a transfer coding that is not read here")
-        elif low == b"x-not-processed":
-            self._never_ran = value == b"1"
-        elif low == b"x-server-load":
-            self._reports.append(value)
-        if low not in OWN_HEADERS:
+        lower_name = name.lower()
+        if lower_name == b"content-length":
+            self._content_length = value
+        elif lower_name == b"transfer-encoding":
+            self._is_chunked = value.lower() == b"chunked"
+            if not self._is_chunked:
+                raise ValueError("unsupported transfer coding")
+        elif lower_name == b"x-not-processed":
+            self._not_processed = value == b"1"
+        elif lower_name == b"x-server-load":
+            self._load_reports.append(value)
+        if lower_name not in UNRETURNED_HEADERS:
             self._headers.append(b"%b: %b\r\n" % (name, value))
 
     def on_headers_complete(self) -> None:
         self._status = self._parser.get_status_code()
-        if self._status < 200:  # only announces the answer
+        if self._status < 200:  # an interim response
             return
-        self._headed = True
-        if self._chunked:
+        self._has_head = True
+        if self._is_chunked:
             return
-        if self._length is None:
-            # It lasts until the connection ends. Nobody is sent the body of one that is not served.
-            self._until_end = self._status == 200
-            self._whole, self._extra = not self._until_end, True
-        elif int(self._length) > MAX_MESSAGE_BYTES:
+        if self._content_length is None:
+            # The body ends with the connection. It is needed only with status 200.
+            self._ends_with_connection = self._status == 200
+            self._is_complete, self._has_excess = not self._ends_with_connection, True
+        elif int(self._content_length) > MAX_MESSAGE_BYTES:
             raise ValueError("the answer is too large")
 
     def on_body(self, body: bytes) -> None:
-        self._size += len(body)
-        if self._size > MAX_MESSAGE_BYTES:
+        self._body_bytes += len(body)
+        if self._body_bytes > MAX_MESSAGE_BYTES:
             raise ValueError("the answer is too large")
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        self._whole = self._status >= 200
-        self._lasts = self._parser.should_keep_alive()  # the parser knows it only in here
+        self._is_complete = self._status >= 200
+        self._keeps_alive = self._parser.should_keep_alive()  # valid only inside this callback
 
-    def _answered(self) -> None:
+    def _finish_response(self) -> None:
         exchange = self._exchange
         exchange.response_headers, exchange.response_body = b"".join(self._headers), b"".join(self._body)
-        exchange.load_report = b",".join(self._reports)
-        self._end(self._outcome(), exchange.is_sent and self._lasts and not self._extra)
+        exchange.load_report = b",".join(self._load_reports)
+        self._end(self._outcome(), exchange.is_sent and self._keeps_alive and not self._has_excess)
 
     def _outcome(self) -> io.Outcome:
-        if self._status == 200:  # one that came before all was asked answers something else
+        if self._status == 200:  # a response before the end of the request can't be for it
             return io.Outcome.OK if self._exchange.is_sent else io.Outcome.UNUSABLE_RESPONSE
-        if self._status in (503, 504) and self._never_ran:
+        if self._status in (503, 504) and self._not_processed:
             return io.Outcome.OVERLOADED
-        # Below 500 it speaks of the request, not of the backend.
+        # A status below 500 faults the request, not the backend.
         return io.Outcome.ERROR if self._status >= 500 else io.Outcome.UNUSABLE_RESPONSE
 
     def _end(self, outcome: io.Outcome, keep: bool = False) -> None:
         exchange, self._exchange = self._exchange, None
         self._headers, self._body = [], []
-        if self._stalled is not None:
-            self._stalled.cancel()
-            self._stalled = None
+        if self._body_timer is not None:
+            self._body_timer.cancel()
+            self._body_timer = None
         if keep:
-            self._pool.idle(self)
+            self._pool.add_idle(self)
         else:
             self.abort()
         if exchange is not None:
             exchange.end(outcome)
 
     def eof_received(self) -> bool:
-        """An orderly end. It makes an answer with no length whole; a reset, which is told of by
-        `connection_lost` alone, does not."""
-        if self._exchange is not None and self._until_end:
-            self._answered()
+        """Completes a response without a length; after a reset only `connection_lost` is called."""
+        if self._exchange is not None and self._ends_with_connection:
+            self._finish_response()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        self._pool.lost(self)
-        if self._stalled is not None:
-            self._stalled.cancel()
-        self._parser = None  # they hold each other
+        self._pool.connection_ended(self)
+        if self._body_timer is not None:
+            self._body_timer.cancel()
+        self._parser = None  # breaks the reference cycle with the parser
         exchange, self._exchange = self._exchange, None
         if exchange is not None:
             exchange.end(io.Outcome.RESET if exchange.is_sent else io.Outcome.CONNECT_FAILED)
 
     def abort(self) -> None:
-        self._pool.drop(self)  # takes up no room, though the loop closes it only in its next turn
+        """Closes the connection at once; it no longer counts, though the loop closes it in its next turn."""
+        self._pool.forget(self)
         self._transport.abort()
 
-    def usable(self) -> bool:
-        """Nothing unread and no end: a backend may have closed it, or died, since the loop last looked."""
+    def is_usable(self) -> bool:
+        """Whether the connection is open with nothing to read, even if the loop has not seen its end yet."""
         return not self._transport.is_closing() and not self._poll.poll(0)
 
 
 class Pool:
-    """One backend: its address, its connections, and the exchanges that wait for one to open."""
+    """The connections to one backend, and the exchanges that wait for theirs to open."""
 
-    def __init__(self, backends: Backends, where: Address):
+    def __init__(self, backends: Backends, address: Address):
         self.loop, self.poll, self._backends = backends.loop, backends.poll, backends
-        self.where, self.closed = where, False
+        self.address, self.is_closed = address, False
         self.connections: set[Connection] = set()
-        self.idle_connections: list[Connection] = []  # the latest used last
+        self.idle_connections: list[Connection] = []  # the most recently used last
         self.opening: dict[Exchange, asyncio.Task] = {}
 
     def send(self, exchange: Exchange) -> None:
-        connection = self._free(self.loop.time() - REUSE_DELAY_S)
+        """Sends an exchange over an idle connection, or a new one where none is usable.
+
+        Where no connection may be opened, one within its REUSE_DELAY_S is used.
+        """
+        connection = self._take_idle(self.loop.time() - REUSE_DELAY_S)
         if connection is None and (
             len(self.connections) + len(self.opening) >= MAX_CONNECTIONS_PER_BACKEND
             or not self._backends.make_room()
         ):
-            connection = self._free(float("inf"))
+            connection = self._take_idle(float("inf"))
             if connection is None:
                 exchange.end(io.Outcome.CONNECT_FAILED)
                 return
@@ -285,25 +303,27 @@
             connection.start(exchange)
             return
         self._backends.open_or_opening[exchange] = self
-        self.opening[exchange] = self._backends.background(self._open(exchange))
-
-    def _free(self, rested: float) -> Connection | None:
-        """The latest used that has stood idle since then, as far as it can still be used: not where the
-        backend may be about to close it, even if the sweep has not come by yet."""
-        stale = self.loop.time() - self._backends.max_idle_s
-        for connection in [x for x in reversed(self.idle_connections) if x.idle_since <= rested]:
-            self._take(connection)
-            if connection.idle_since > stale and connection.usable():
+        self.opening[exchange] = self._backends.run_in_background(self._open(exchange))
+
+    def _take_idle(self, idle_before_s: float) -> Connection | None:
+        """Takes the most recently used connection that has been idle since `idle_before_s` (loop time).
+
+        One that the backend may be about to close is not used, even if the sweep has not closed it yet.
+        """
+        idle_limit_s = self.loop.time() - self._backends.max_idle_s
+        for connection in [x for x in reversed(self.idle_connections) if x.idle_since <= idle_before_s]:
+            self._remove_idle(connection)
+            if connection.idle_since > idle_limit_s and connection.is_usable():
                 return connection
             connection.abort()
         return None
 
     async def _open(self, exchange: Exchange) -> None:
         try:
-            async with asyncio.timeout(self._backends.connect_s):
-                await self.loop.create_connection(lambda: Connection(self, exchange), *self.where)
+            async with asyncio.timeout(self._backends.connect_timeout_s):
+                await self.loop.create_connection(lambda: Connection(self, exchange), *self.address)
         except (OSError, TimeoutError):
-            # The time may be up just after it came up and was written to; its end is told by the connection.
+            # The timeout may strike just after the connection opened; then the connection ends the exchange.
             if exchange.connection is None:
                 exchange.end(io.Outcome.CONNECT_FAILED)
         finally:
@@ -313,85 +333,98 @@
         self.opening.pop(exchange, None)
         self._backends.open_or_opening.pop(exchange, None)
 
-    def opened(self, connection: Connection, exchange: Exchange) -> None:
-        """Sends nothing for a request that is over by now, or where the backend drains."""
+    def connection_opened(self, connection: Connection, exchange: Exchange) -> None:
+        """Starts the exchange that the connection was opened for, unless it is not needed any more."""
         self._end_opening(exchange)
         self.connections.add(connection)
         self._backends.open_or_opening[connection] = self
-        if self.closed:
+        if self.is_closed:
             connection.abort()
         elif exchange.is_done or exchange.is_wanted is not None and not exchange.is_wanted():
-            self.idle(connection)
-            connection.idle_since -= REUSE_DELAY_S  # it has brought no answer yet that another could follow
+            self.add_idle(connection)
+            connection.idle_since -= REUSE_DELAY_S  # usable at once, as no response came over it yet
         else:
             connection.start(exchange)
 
-    def idle(self, connection: Connection) -> None:
-        if self.closed:
+    def add_idle(self, connection: Connection) -> None:
+        """Keeps a connection for later exchanges, or closes it if the pool is closed."""
+        if self.is_closed:
             connection.abort()
             return
         connection.idle_since = self.loop.time()
         self.idle_connections.append(connection)
         self._backends.idle_by_age[connection] = self
 
-    def _take(self, connection: Connection) -> None:
+    def _remove_idle(self, connection: Connection) -> None:
         self.idle_connections.remove(connection)
         del self._backends.idle_by_age[connection]
 
-    def drop(self, connection: Connection) -> None:
+    def forget(self, connection: Connection) -> None:
+        """Stops counting a connection against the limits."""
         self.connections.discard(connection)
         self._backends.open_or_opening.pop(connection, None)
 
-    def lost(self, connection: Connection) -> None:
-        self.drop(connection)
+    def connection_ended(self, connection: Connection) -> None:
+        """Removes a connection that is closed."""
+        self.forget(connection)
         if connection in self.idle_connections:
-            self._take(connection)
+            self._remove_idle(connection)
 
     def retire(self, connection: Connection) -> None:
-        """Close one that stands idle."""
-        self._take(connection)
+        """Closes an idle connection."""
+        self._remove_idle(connection)
         connection.abort()
 
     def retire_all(self) -> None:
+        """Closes all idle connections."""
         for connection in list(self.idle_connections):
             self.retire(connection)
 
-    def give_up(self, exchange: Exchange) -> None:
-        """The connection that comes up for it is not wanted any more."""
+    def cancel_opening(self, exchange: Exchange) -> None:
+        """Cancels opening the connection for an exchange that has ended."""
         task = self.opening[exchange]
         self._end_opening(exchange)
         task.cancel()
 
     def close(self) -> None:
-        """Nothing new from here on; what runs may finish."""
-        self.closed = True
+        """Closes the pool: running exchanges finish, and those that wait for a connection fail."""
+        self.is_closed = True
         self.retire_all()
         for exchange in list(self.opening):
             exchange.end(io.Outcome.CONNECT_FAILED)
 
 
 class Backends:
-    def __init__(self, settings: io.Settings, keepalive_ms: float, most: int, system: System = REAL_SYSTEM):
+    """The connection pools to all backends of the list, with a common limit on connections.
+
+    `keepalive_ms` is the time after which backends close an idle connection.
+    """
+
+    def __init__(
+        self, settings: io.Settings, keepalive_ms: float, max_connections: int, system: System = REAL_SYSTEM
+    ):
         self.loop, self.poll = asyncio.get_running_loop(), system.poll
-        self.connect_s = settings.connect_timeout_ms / 1000.0
-        self.max_idle_s, self._most = keepalive_ms * IDLE_SHARE / 1000.0, most
-        self._places: dict[str, tuple[Address, float]] = {}  # that take new work: where, since when
-        self._pools: dict[str, Pool] = {}  # of those that were sent anything lately
-        self._draining_pools: set[Pool] = set()  # those that only finish what they have
-        # Over all pools, as a request to one of many backends mostly needs a new connection: what takes up
-        # room, open or coming up; and of that what stands idle, longest first.
+        self.connect_timeout_s = settings.connect_timeout_ms / 1000.0
+        self.max_idle_s, self._max_connections = keepalive_ms * IDLE_TIMEOUT_SHARE / 1000.0, max_connections
+        # Address and start time of each backend that takes new requests.
+        self._endpoints: dict[str, tuple[Address, float]] = {}
+        self._pools: dict[str, Pool] = {}  # of backends with connections; a sweep removes the others
+        self._draining_pools: set[Pool] = set()  # of backends that drain or have left
+        # Over all pools, so that the limit and the longest idle connection are found without a search: what
+        # counts against the limit, and the idle connections, those idle for longest first.
         self.open_or_opening: dict[Connection | Exchange, Pool] = {}
         self.idle_by_age: dict[Connection, Pool] = {}
         self._tasks: set[asyncio.Task] = set()
         self._path = b"/load" if settings.load_report_fields else b"/healthz"
 
     def start(self) -> None:
+        """Starts the periodic sweep, which closes connections idle for too long and drops empty pools."""
         self._sweep()
 
     def _sweep(self) -> None:
-        before = self.loop.time() - self.max_idle_s
+        idle_before_s = self.loop.time() - self.max_idle_s
         for connection, pool in list(
-            itertools.takewhile(lambda entry: entry[0].idle_since <= before, self.idle_by_age.items())
+            itertools.takewhile(lambda entry: entry[0].idle_since <= idle_before_s, self.idle_by_age.items())
         ):
             pool.retire(connection)
         for name in [name for name, pool in self._pools.items() if not pool.connections and not pool.opening]:
@@ -399,56 +432,64 @@
         self._draining_pools = {pool for pool in self._draining_pools if pool.connections or pool.opening}
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
-    def background(self, work) -> asyncio.Task:
+    def run_in_background(self, work) -> asyncio.Task:
+        """Runs a coroutine as a task and keeps a reference to it until it is done."""
         task = self.loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def make_room(self) -> bool:
-        """Whether one more connection may be opened; an idle one elsewhere gives way, or one for nobody."""
-        if len(self.open_or_opening) < self._most:
+        """Returns whether one more connection may be opened.
+
+        At the limit, the connection idle for longest is closed, or one that opens for an ended exchange.
+        """
+        if len(self.open_or_opening) < self._max_connections:
             return True
         if self.idle_by_age:
             connection, pool = next(iter(self.idle_by_age.items()))
             pool.retire(connection)
             return True
-        for held, pool in self.open_or_opening.items():
-            if isinstance(held, Exchange) and held.is_done:
-                pool.give_up(held)
+        for holder, pool in self.open_or_opening.items():
+            if isinstance(holder, Exchange) and holder.is_done:
+                pool.cancel_opening(holder)
                 return True
         return False
 
-    def apply_listing(self, found: Listing) -> list[Pool]:
-        """Where backends listen, as discovery has it now. Those that are returned get nothing new: the caller
-        closes them once the module knows, or it would try them again for what that ends."""
-        parted = []
-        if found.event.kind is not io.ListKind.DELTA:
-            named = {backend.id for backend in found.event.backends}
-            parted += [self._part(name) for name in list(self._places) if name not in named]
-        for backend in found.event.backends:
-            up = backend.state is io.BackendState.UP
-            place = (found.addresses[backend.id], backend.started_ms) if up else None
-            if place != self._places.get(backend.id):  # drains, gone, moved, or another process by now
-                parted.append(self._part(backend.id))
-                if up:
-                    self._places[backend.id] = place
-        parted = [pool for pool in parted if pool is not None]
-        self._draining_pools.update(parted)
-        return parted
-
-    def _part(self, name: str) -> Pool | None:
-        self._places.pop(name, None)
+    def apply_listing(self, listing: Listing) -> list[Pool]:
+        """Applies a list of backends or a change to one; returns the pools that get no further exchanges.
+
+        The caller closes them once the module knows of the change: it would retry on them otherwise.
+        """
+        retired = []
+        if listing.event.kind is not io.ListKind.DELTA:
+            listed_ids = {backend.id for backend in listing.event.backends}
+            retired += [self._retire_pool(name) for name in list(self._endpoints) if name not in listed_ids]
+        for backend in listing.event.backends:
+            is_up = backend.state is io.BackendState.UP
+            endpoint = (listing.addresses[backend.id], backend.started_ms) if is_up else None
+            if endpoint != self._endpoints.get(backend.id):  # draining, removed, moved or restarted
+                retired.append(self._retire_pool(backend.id))
+                if is_up:
+                    self._endpoints[backend.id] = endpoint
+        retired = [pool for pool in retired if pool is not None]
+        self._draining_pools.update(retired)
+        return retired
+
+    def _retire_pool(self, name: str) -> Pool | None:
+        self._endpoints.pop(name, None)
         return self._pools.pop(name, None)
 
     def has_backend(self) -> bool:
-        return bool(self._places)
+        """Whether any backend takes new requests."""
+        return bool(self._endpoints)
 
     def send(self, exchange: Exchange) -> None:
+        """Sends an exchange to its backend; it fails at once for an unknown backend or a passed deadline."""
         pool = self._pools.get(exchange.backend)
-        if pool is None and exchange.backend in self._places:
-            where, _ = self._places[exchange.backend]
-            pool = self._pools[exchange.backend] = Pool(self, where)
+        if pool is None and exchange.backend in self._endpoints:
+            address, _ = self._endpoints[exchange.backend]
+            pool = self._pools[exchange.backend] = Pool(self, address)
         wait_s = exchange.deadline_s - self.loop.time()
         if pool is None or wait_s <= 0:
             exchange.end(io.Outcome.CONNECT_FAILED)
@@ -457,9 +498,11 @@
         pool.send(exchange)
 
     def probe(self, backend: str, on_done: Callable[[Exchange], None]) -> None:
+        """Asks a backend for its load or health; `on_done` is called with the exchange once it has ended."""
         head = b"GET %b HTTP/1.1\r\nHost: backend\r\n" % self._path
-        self.send(Exchange(backend, head, b"", self.loop.time() + self.connect_s, on_done))
+        self.send(Exchange(backend, head, b"", self.loop.time() + self.connect_timeout_s, on_done))
 
     def close_idle(self, backend: str) -> None:
+        """Closes the idle connections to a backend."""
         if backend in self._pools:
             self._pools[backend].retire_all()
--- a/elderhub/checks.py
+++ b/elderhub/checks.py
@@ -1,7 +1,7 @@
-"""What a request must look like: pure functions from what was read to the event of a request, or a refusal.
+"""Validates requests: pure functions from a parsed HTTP request to the module's event, or an error.
 
-Clients of the usual kind send nothing that is turned down here. Whatever is turned down never reaches the
-module: it has no bearing on a quota or on the standing of a backend.
+A request that is refused here never reaches the module, so it affects neither a quota nor what is known of a
+backend.
 """
 
 from __future__ import annotations
@@ -38,20 +38,20 @@
         b"transfer-encoding",
     }
 )
-NEEDED = (b"host", REQUEST_ID_HEADER, CLASS_HEADER, PLAN_HEADER, TIMEOUT_HEADER, QUOTA_HEADER)
+REQUIRED_HEADERS = (b"host", REQUEST_ID_HEADER, CLASS_HEADER, PLAN_HEADER, TIMEOUT_HEADER, QUOTA_HEADER)
 UNFORWARDED_HEADERS = HOP_BY_HOP_HEADERS | {CONTENT_LENGTH_HEADER, b"expect", TIMEOUT_HEADER}
-CUSTOMERS = 1 << 33
-ROUNDING_MS = 1.0  # a time-out is told with some decimals
+CUSTOMER_ID_LIMIT = 1 << 33  # exclusive
+TIMEOUT_ROUNDING_MS = 1.0  # clients round X-Timeout to a few decimals
 
-IDENTITY = re.compile(rb"[0-9a-f]{16}")
-KEYS = re.compile(rb"[!-~]{1,128}")
-WHERE = re.compile(rb"/(?:[!-~]*/)?([0-9A-Fa-f]{16})")
-DECIMAL = re.compile(rb"\d{1,9}(\.\d{1,32})?")
-WHOLE = re.compile(rb"\d{1,6}")
+REQUEST_ID_PATTERN = re.compile(rb"[0-9a-f]{16}")
+IDEMPOTENCY_KEY_PATTERN = re.compile(rb"[!-~]{1,128}")
+CUSTOMER_PATH_PATTERN = re.compile(rb"/(?:[!-~]*/)?([0-9A-Fa-f]{16})")
+DECIMAL_PATTERN = re.compile(rb"\d{1,9}(\.\d{1,32})?")
+INTEGER_PATTERN = re.compile(rb"\d{1,6}")
 
 
 class RequestError(Exception):
-    """A request that is answered with this status and never reaches a backend."""
+    """A request that is answered with `status` and never reaches a backend; `reason` becomes the body."""
 
     def __init__(self, status: int, reason: str):
         super().__init__(reason)
@@ -59,21 +59,22 @@
 
 
 class HttpRequest:
-    """One request as it was read."""
+    """One HTTP request as read from a client. Names in `headers` are in lower case."""
 
     __slots__ = ("method", "target", "headers", "forwarded_headers", "body", "keep_alive", "received_at_ms")
 
     def __init__(self) -> None:
         self.method, self.target, self.body, self.keep_alive = b"", b"", b"", True
-        self.received_at_ms = 0.0  # clock time of its last byte
+        self.received_at_ms = 0.0  # host clock at its last byte
         self.headers: dict[bytes, bytes] = {}
         self.forwarded_headers: list[bytes] = []
 
     def path(self) -> bytes:
+        """Returns the target without its query."""
         return self.target.partition(b"?")[0]
 
     def head(self) -> bytes:
-        """The head as it goes on to a backend, but for the last lines."""
+        """Returns the head as forwarded to a backend, without X-Timeout and the empty line at its end."""
         length = b"Content-Length: %d\r\n" % len(self.body) if self.body or self.method != b"GET" else b""
         return b"%b %b HTTP/1.1\r\n%b%b" % (
             self.method,
@@ -84,30 +85,30 @@
 
 
 def parse_request(message: HttpRequest, settings: io.Settings) -> io.RequestArrived:
-    """The event of a request. The id is the host's to give."""
+    """Returns the event of a request, with an empty id that the host fills in; raises RequestError."""
     headers = message.headers
     if message.method not in (b"GET", b"POST"):
         raise RequestError(405, "only GET and POST are served")
-    found = WHERE.fullmatch(message.path())
-    if found is None or int(found[1], 16) >= CUSTOMERS:
+    match = CUSTOMER_PATH_PATTERN.fullmatch(message.path())
+    if match is None or int(match[1], 16) >= CUSTOMER_ID_LIMIT:
         raise RequestError(404, "the path names no customer")
-    for name in NEEDED:
+    for name in REQUIRED_HEADERS:
         if name not in headers:
             raise RequestError(400, f"missing: {name.decode()}")
-    if not IDENTITY.fullmatch(headers[REQUEST_ID_HEADER]):
+    if not REQUEST_ID_PATTERN.fullmatch(headers[REQUEST_ID_HEADER]):
         raise RequestError(400, "x-request-id is not 16 hex digits")
-    cls = settings.classes.get(headers[CLASS_HEADER].decode("latin-1"))
+    request_class = settings.classes.get(headers[CLASS_HEADER].decode("latin-1"))
     plan = settings.plans.get(headers[PLAN_HEADER].decode("latin-1"))
-    if cls is None or plan is None:
-        raise RequestError(400, "no such class" if cls is None else "no such plan")
-    _fits(message, cls)
-    units, first, spread = _quota(headers[QUOTA_HEADER], settings)
+    if request_class is None or plan is None:
+        raise RequestError(400, "no such class" if request_class is None else "no such plan")
+    _check_class_rules(message, request_class)
+    units, first, spread = _parse_quota(headers[QUOTA_HEADER], settings)
     return io.RequestArrived(
         request="",
-        customer=found[1].decode().lower(),
+        customer=match[1].decode().lower(),
         plan=plan.name,
-        kind=cls.name,
-        deadline_ms=message.received_at_ms + _wait_ms(headers[TIMEOUT_HEADER], cls),
+        kind=request_class.name,
+        deadline_ms=message.received_at_ms + _parse_timeout_ms(headers[TIMEOUT_HEADER], request_class),
         units=units,
         first_gateway=first,
         spread=spread,
@@ -115,14 +116,14 @@
     )
 
 
-def _fits(message: HttpRequest, cls: io.RequestClass) -> None:
-    """The method follows from the class, and what may run again is told apart by its key."""
-    safe = cls.idempotency is io.Idempotency.SAFE
+def _check_class_rules(message: HttpRequest, request_class: io.RequestClass) -> None:
+    """Checks the method, body, key and retry mark against the request's class; raises RequestError."""
+    safe = request_class.idempotency is io.Idempotency.SAFE
     if message.method != (b"GET" if safe else b"POST"):
         raise RequestError(405, "another method than its class has")
     if safe and message.body:
         raise RequestError(400, "a body that its class has not")
-    if cls.idempotency is io.Idempotency.KEYED and not KEYS.fullmatch(
+    if request_class.idempotency is io.Idempotency.KEYED and not IDEMPOTENCY_KEY_PATTERN.fullmatch(
         message.headers.get(IDEMPOTENCY_KEY_HEADER, b"")
     ):
         raise RequestError(400, "missing: idempotency-key")
@@ -130,26 +131,31 @@
         raise RequestError(400, "x-retried is not 1")
 
 
-def _wait_ms(text: bytes, cls: io.RequestClass) -> float:
-    """No client waits longer than its class is given."""
-    wait_ms = float(text) * 1000.0 if DECIMAL.fullmatch(text) else 0.0
-    if not 0.0 < wait_ms <= cls.timeout_ms + ROUNDING_MS:
+def _parse_timeout_ms(text: bytes, request_class: io.RequestClass) -> float:
+    """Parses X-Timeout, in seconds, which may not exceed the class's timeout; raises RequestError."""
+    wait_ms = float(text) * 1000.0 if DECIMAL_PATTERN.fullmatch(text) else 0.0
+    if not 0.0 < wait_ms <= request_class.timeout_ms + TIMEOUT_ROUNDING_MS:
         raise RequestError(400, "x-timeout is not a number in range")
     return wait_ms
 
 
-def _quota(text: bytes, settings: io.Settings) -> tuple[float, int, int]:
-    """Units, and the customer's set: this gateway is in it, or the front would not have sent the request."""
+def _parse_quota(text: bytes, settings: io.Settings) -> tuple[float, int, int]:
+    """Parses Quota-Info into units and the first gateway and size of the customer's set; raises RequestError.
+
+    This gateway has to be in the set.
+    """
     pairs = [pair.strip().partition(b"=")[::2] for pair in text.split(b",")]
     given = dict(pairs)
     if len(pairs) != 3 or given.keys() != {b"units", b"spread", b"first"}:
         raise RequestError(400, "quota-info is not units, spread and first")
     units = (
-        parse_number(given[b"units"], 0.0, settings.max_units) if DECIMAL.fullmatch(given[b"units"]) else None
+        parse_number(given[b"units"], 0.0, settings.max_units)
+        if DECIMAL_PATTERN.fullmatch(given[b"units"])
+        else None
     )
     if not units:
         raise RequestError(400, "units out of range")
-    if not (WHOLE.fullmatch(given[b"first"]) and WHOLE.fullmatch(given[b"spread"])):
+    if not (INTEGER_PATTERN.fullmatch(given[b"first"]) and INTEGER_PATTERN.fullmatch(given[b"spread"])):
         raise RequestError(400, "a set that is none")
     first, spread, gateways = int(given[b"first"]), int(given[b"spread"]), max(1, settings.gateways)
     if not (first < gateways and 0 < spread <= gateways and (settings.node_id - first) % gateways < spread):
