--- a/elderhub/__init__.py
+++ b/elderhub/__init__.py
@@ -1,1 +1,1 @@
-"""elderhub: the gateway on real sockets around the decisions of `cobaltline`."""
+"""The gateway's network code, around the decision module `cobaltline`."""
--- a/elderhub/__main__.py
+++ b/elderhub/__main__.py
@@ -1,4 +1,4 @@
-"""Start, signals, drain, exit code."""
+"""The gateway's process: start, signals, drain and exit code."""
 
 from __future__ import annotations
 
@@ -15,57 +15,64 @@
 from .config import Config, ConfigError, load_config, reload_addresses
 from .host import Host
 
-FIRST_LIST_TIMEOUT_S = 1.0  # so long a start waits for discovery before it serves from the list it remembers
-READY_TIMEOUT_S = 5.0  # ready by then, though no backend is known: what comes is refused until one is
-DRAIN_ACCEPT_S = 0.5  # so long after SIGTERM new connections still come
-# after SIGTERM, SIGKILL may come after the longest deadline, this at most, and a bit
+FIRST_LIST_TIMEOUT_S = 1.0  # after which the gateway serves from the cached list
+READY_TIMEOUT_S = 5.0  # ready after this even without a backend; requests are refused until there is one
+DRAIN_ACCEPT_S = 0.5  # new connections are accepted for this long after SIGTERM
+# SIGKILL may follow SIGTERM after the longest timeout of a class, this at most, and a grace period of which
+# FINAL_ANSWERS_S pass before the open requests are answered.
 MAX_DRAIN_DEADLINE_S = 3.0
-LAST_ANSWERS_S = 0.4  # of that bit: what is open then is answered
-FLUSH_S = 0.1  # and so long the last answers may take to go out
-POLL_S = 0.02
+FINAL_ANSWERS_S = 0.4
+FLUSH_TIMEOUT_S = 0.1  # for the final answers to be sent
+POLL_INTERVAL_S = 0.02
 END_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-GC_THRESHOLD = 5000  # new objects; what cycles keep alive until then is no more than a MB
+GC_THRESHOLD = 5000  # new objects between collections; bounds what garbage in cycles holds
 
 log = logging.getLogger("elderhub")
 
 
 async def serve(config: Config) -> None:
+    """Runs a gateway until a signal ends it; raises OSError if it can't start."""
     stop = asyncio.Event()
-    for name in END_SIGNALS:
-        _handle(name, stop.set)
+    for signal_number in END_SIGNALS:
+        _on_signal(signal_number, stop.set)
     host = Host(config)
-    _handle(signal.SIGHUP, _reload, host, config)
-    ready = await start_gateway(host, config)
+    _on_signal(signal.SIGHUP, _reload, host, config)
+    ready_task = await start_gateway(host, config)
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD)
     await stop.wait()
-    ready.cancel()
+    ready_task.cancel()
     await drain(host, config)
-    for name in (*END_SIGNALS, signal.SIGHUP):
-        signal.signal(name, signal.SIG_IGN)
+    for signal_number in (*END_SIGNALS, signal.SIGHUP):
+        signal.signal(signal_number, signal.SIG_IGN)
 
 
-def _handle(name: signal.Signals, what: Callable[..., None], *args: object) -> None:
-    """Call `what` in the loop at such a signal; once, for several that come before it is called. A handler of
-    the loop's own would give the signal back its default when the loop closes, and then one kills a process
-    that is about to end well."""
-    loop, waiting = asyncio.get_running_loop(), []
+def _on_signal(signal_number: signal.Signals, callback: Callable[..., None], *args: object) -> None:
+    """Calls `callback` in the loop at a signal, once for several that arrive before it runs.
+
+    The loop's own handlers are not used: it restores the default action when it closes, and a signal would
+    then kill a process that is about to exit with status 0.
+    """
+    loop, pending = asyncio.get_running_loop(), []
 
     def call() -> None:
-        waiting.clear()
-        what(*args)
+        pending.clear()
+        callback(*args)
 
-    def come(*_: object) -> None:
-        if not waiting:
-            waiting.append(name)
+    def handle_signal(*_: object) -> None:
+        if not pending:
+            pending.append(signal_number)
             loop.call_soon_threadsafe(call)
 
-    signal.signal(name, come)
+    signal.signal(signal_number, handle_signal)
 
 
 async def start_gateway(host: Host, config: Config) -> asyncio.Task:
-    """Open all that a gateway needs; returns what waits until it is ready. Raises OSError."""
+    """Opens a gateway's sockets and connections; raises OSError.
+
+    Returns the task that marks the gateway as ready.
+    """
     loop = asyncio.get_running_loop()
     host.clients.listen(*config.listen)
     if config.peer_listen is not None:
@@ -75,56 +82,60 @@
         host.counter.start()
     host.apply_listing(config.known)
     host.discovery.start()
-    return loop.create_task(_ready(host))
+    return loop.create_task(_wait_until_ready(host))
 
 
 def _reload(host: Host, config: Config) -> None:
-    """A file that can't be used changes nothing."""
+    """Applies the addresses in the configuration file; a file that can't be used changes nothing."""
     try:
         discovery, counter = reload_addresses(os.environ, config)
     except ConfigError as error:
-        log.error("not reloaded: %s", error)
+        log.error("not reloaded, the addresses stay: %s", error)
         return
     log.info("reloaded: discovery %s, counter %s", discovery, counter)
     host.set_addresses(discovery, counter)
 
 
-async def _ready(host: Host) -> None:
-    """Serves once there are backends to send to, and the list is fresh or discovery is silent; or late."""
+async def _wait_until_ready(host: Host) -> None:
+    """Marks the gateway as ready once it has backends and discovery has answered, or after the timeouts."""
     loop = asyncio.get_running_loop()
-    last = loop.time() + READY_TIMEOUT_S
+    deadline_s = loop.time() + READY_TIMEOUT_S
     try:
         async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
             await host.discovery.first_list_received.wait()
     except TimeoutError:
-        log.warning("discovery is silent: serving from the list remembered")
+        log.warning("discovery has sent no list in time: serving from the cached list")
     while not host.backends.has_backend():
-        if loop.time() >= last:
-            log.warning("ready without a backend")
+        if loop.time() >= deadline_s:
+            log.warning("ready without a backend: requests are refused until one is known")
             break
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     host.clients.is_ready = True
 
 
 async def drain(host: Host, config: Config) -> None:
-    """From SIGTERM to the end: what was taken is answered, new connections come for a moment yet."""
+    """Drains a gateway after SIGTERM: answers open requests, and accepts connections for DRAIN_ACCEPT_S."""
     loop = asyncio.get_running_loop()
-    longest = max((c.timeout_ms for c in config.settings.classes.values()), default=0.0) / 1000.0
-    last = loop.time() + min(longest, MAX_DRAIN_DEADLINE_S) + LAST_ANSWERS_S
+    longest_timeout_s = (
+        max((request_class.timeout_ms for request_class in config.settings.classes.values()), default=0.0)
+        / 1000.0
+    )
+    deadline_s = loop.time() + min(longest_timeout_s, MAX_DRAIN_DEADLINE_S) + FINAL_ANSWERS_S
     host.start_draining()
     await asyncio.sleep(DRAIN_ACCEPT_S)
     host.clients.stop_listening()
-    while host.clients.has_connections() and loop.time() < last:
-        await asyncio.sleep(POLL_S)
+    while host.clients.has_connections() and loop.time() < deadline_s:
+        await asyncio.sleep(POLL_INTERVAL_S)
     host.answer_open_requests()
-    flushed = loop.time() + FLUSH_S
-    while host.clients.has_connections() and loop.time() < flushed:
-        await asyncio.sleep(POLL_S)
+    flush_deadline_s = loop.time() + FLUSH_TIMEOUT_S
+    while host.clients.has_connections() and loop.time() < flush_deadline_s:
+        await asyncio.sleep(POLL_INTERVAL_S)
     host.discovery.stop()
 
 
 def main() -> int:
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # it would kill us; the file is read after this anyway
+    """Runs the gateway; returns 2 for an unusable configuration, 1 if it can't start, else 0."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # kills the process by default; the file is read after this
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     try:
         uvloop.run(serve(load_config(os.environ)))
--- a/elderhub/config.py
+++ b/elderhub/config.py
@@ -1,4 +1,4 @@
-"""What the gateway is told at its start: NODE_CONFIG and the variables beside it, checked."""
+"""Reads and validates the configuration: the file that NODE_CONFIG names, and environment variables."""
 
 from __future__ import annotations
 
@@ -14,17 +14,19 @@
 from .discovery import PARSE_ERRORS, Listing, parse_listing
 from .wire import Address, parse_address
 
-SOCKETS_LEAST = 64  # file descriptors: 24 are held at rest
-ADDRESS = "host:port, the port from 1 to 65535"  # what is allowed, in the words of an error
-UNREADABLE = (*PARSE_ERRORS, OverflowError)
+MIN_SOCKETS = 64  # file descriptors
+ADDRESS_FORM = "host:port, the port from 1 to 65535"  # for error messages
+FIELD_ERRORS = (*PARSE_ERRORS, OverflowError)
 
 
 class ConfigError(Exception):
-    """The gateway can't start with what it was told. Names the file, and the field with what is allowed."""
+    """A configuration that can't be used. The message names the file, the field and what is allowed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """The validated configuration of one gateway."""
+
     name: str
     listen: Address
     discovery: Address
@@ -34,12 +36,12 @@
     peers_all: Address | None
     seed: int
     sockets: int  # file descriptors that the process may hold
-    keepalive_ms: float  # backends close a connection that stood idle so long
-    known: Listing  # the list of backends as last had
+    keepalive_ms: float  # after which backends close an idle connection
+    known: Listing  # the cached list of backends
     settings: io.Settings
 
 
-def _read(environ: Mapping[str, str]) -> tuple[str, dict]:
+def _read_file(environ: Mapping[str, str]) -> tuple[str, dict]:
     path = environ.get("NODE_CONFIG")
     if not path:
         raise ConfigError("NODE_CONFIG names no file")
@@ -53,92 +55,107 @@
 
 
 def load_config(environ: Mapping[str, str]) -> Config:
-    path, raw = _read(environ)
-    for key, variable in (("name", "NODE_NAME"), ("listen", "NODE_LISTEN"), ("discovery", "NODE_DISCOVERY")):
-        if environ.get(variable):
-            raw[key] = environ[variable]
+    """Reads the configuration at the start; variables take precedence over the file. Raises ConfigError."""
+    path, raw = _read_file(environ)
+    for key, variable_name in (
+        ("name", "NODE_NAME"),
+        ("listen", "NODE_LISTEN"),
+        ("discovery", "NODE_DISCOVERY"),
+    ):
+        if environ.get(variable_name):
+            raw[key] = environ[variable_name]
     try:
-        return _config(raw)
+        return _parse_config(raw)
     except ConfigError as error:
         raise ConfigError(f"{path}: {error}") from None
 
 
 def reload_addresses(environ: Mapping[str, str], config: Config) -> tuple[Address, Address | None]:
-    """Where discovery and the counter are by now. The file alone says: the variables are of the start."""
-    path, raw = _read(environ)
+    """Rereads the addresses of discovery and the counter from the file; raises ConfigError.
+
+    Environment variables are ignored, since a running process keeps those of its start.
+    """
+    path, raw = _read_file(environ)
     try:
-        counter = _address(raw, "counter") if config.counter is not None else None
-        return _address(raw, "discovery"), counter
+        counter = _address_field(raw, "counter") if config.counter is not None else None
+        return _address_field(raw, "discovery"), counter
     except ConfigError as error:
         raise ConfigError(f"{path}: {error}") from None
 
 
-def _field(name: str, allowed: str, read: Callable[..., Any], *args: object) -> Any:
-    """What `read` makes of a field; an error that names it where it can't be read."""
+def _parse_field(name: str, allowed: str, parse: Callable[..., Any], *args: object) -> Any:
+    """Returns `parse(*args)`; raises a ConfigError that names the field if that fails."""
     try:
-        return read(*args)
-    except UNREADABLE as error:
+        return parse(*args)
+    except FIELD_ERRORS as error:
         raise ConfigError(f"{name}: {error} (allowed: {allowed})") from None
 
 
-def _address(raw: dict, key: str) -> Address:
-    return _field(key, ADDRESS, parse_address, raw.get(key))
+def _address_field(raw: dict, key: str) -> Address:
+    return _parse_field(key, ADDRESS_FORM, parse_address, raw.get(key))
 
 
-def _optional(raw: dict, key: str) -> Address | None:
-    return _address(raw, key) if raw.get(key) else None
+def _optional_address(raw: dict, key: str) -> Address | None:
+    return _address_field(raw, key) if raw.get(key) else None
 
 
-def _object(raw: dict, key: str, name: str) -> dict:
-    found = raw.get(key) or {}
-    if not isinstance(found, dict):
-        raise ConfigError(f"{name}: {found!r:.60} is not an object (allowed: an object, or nothing)")
-    return found
+def _object_field(raw: dict, key: str, name: str) -> dict:
+    value = raw.get(key) or {}
+    if not isinstance(value, dict):
+        raise ConfigError(f"{name}: {value!r:.60} is not an object (allowed: an object, or nothing)")
+    return value
 
 
-def _config(raw: dict) -> Config:
-    info = _object(raw, "settings", "settings")
+def _parse_config(raw: dict) -> Config:
+    raw_settings = _object_field(raw, "settings", "settings")
     try:
-        settings = parse_settings(info)
+        settings = parse_settings(raw_settings)
     except MalformedInput as error:
         raise ConfigError(f"settings.{error}") from None
-    listed = _field("peers", f"a list of {ADDRESS}", tuple, raw.get("peers") or ())
-    peers = tuple(_field(f"peers[{i}]", ADDRESS, parse_address, peer) for i, peer in enumerate(listed))
-    counter, peer_listen, peers_all = (_optional(raw, key) for key in ("counter", "peer_listen", "peers_all"))
+    raw_peers = _parse_field("peers", f"a list of {ADDRESS_FORM}", tuple, raw.get("peers") or ())
+    peers = tuple(
+        _parse_field(f"peers[{index}]", ADDRESS_FORM, parse_address, peer)
+        for index, peer in enumerate(raw_peers)
+    )
+    counter, peer_listen, peers_all = (
+        _optional_address(raw, key) for key in ("counter", "peer_listen", "peers_all")
+    )
     if settings.counter and counter is None:
         raise ConfigError(
-            f"counter: none is named, but settings.familyInfo.counter allows one (allowed: {ADDRESS})"
+            f"counter: none is named, but settings.familyInfo.counter allows one (allowed: {ADDRESS_FORM})"
         )
-    sockets = _field(
+    sockets = _parse_field(
         "limits.sockets",
-        f"a whole number from {SOCKETS_LEAST} on",
+        f"a whole number from {MIN_SOCKETS} on",
         int,
-        _object(raw, "limits", "limits").get("sockets") or 1024,
+        _object_field(raw, "limits", "limits").get("sockets") or 1024,
     )
-    if sockets < SOCKETS_LEAST:
+    if sockets < MIN_SOCKETS:
         raise ConfigError(
             f"limits.sockets: {sockets} are too few to serve with (allowed: a whole number "
-            f"from {SOCKETS_LEAST} on)"
+            f"from {MIN_SOCKETS} on)"
         )
-    keepalive_ms = _object(info, "policyLimits", "settings.policyLimits").get("keepaliveMs") or 15000.0
+    keepalive_ms = (
+        _object_field(raw_settings, "policyLimits", "settings.policyLimits").get("keepaliveMs") or 15000.0
+    )
     return Config(
         name=str(raw.get("name") or ""),
-        listen=_address(raw, "listen"),
-        discovery=_address(raw, "discovery"),
+        listen=_address_field(raw, "listen"),
+        discovery=_address_field(raw, "discovery"),
         counter=counter if settings.counter else None,
         peer_listen=peer_listen if settings.may_message_peers else None,
         peers=peers,
         peers_all=peers_all,
-        seed=_field("seed", "hexadecimal digits, as text", int, str(raw.get("seed") or "0"), 16),
+        seed=_parse_field("seed", "hexadecimal digits, as text", int, str(raw.get("seed") or "0"), 16),
         sockets=sockets,
-        keepalive_ms=_field("settings.policyLimits.keepaliveMs", "milliseconds", float, keepalive_ms),
-        known=_known(_object(raw, "known", "known")),
+        keepalive_ms=_parse_field("settings.policyLimits.keepaliveMs", "milliseconds", float, keepalive_ms),
+        known=_parse_known(_object_field(raw, "known", "known")),
         settings=settings,
     )
 
 
-def _known(raw: dict) -> Listing:
-    """The list as it was last had. Entries that can't be read are passed over, as in any list."""
-    _field("known.generation", "a whole number", int, raw.get("generation") or 0)
-    _field("known.instances", "a list of objects", iter, raw.get("instances") or ())
+def _parse_known(raw: dict) -> Listing:
+    """Parses the cached list of backends. Malformed entries are skipped, as in any list."""
+    _parse_field("known.generation", "a whole number", int, raw.get("generation") or 0)
+    _parse_field("known.instances", "a list of objects", iter, raw.get("instances") or ())
     return parse_listing(raw)
--- a/elderhub/counter.py
+++ b/elderhub/counter.py
@@ -1,4 +1,4 @@
-"""The quota counter: calls as pipelined lines over a few connections, one result for each call."""
+"""The client of the counter service: calls are pipelined over a few connections, each with one result."""
 
 from __future__ import annotations
 
@@ -15,244 +15,269 @@
 log = logging.getLogger(__name__)
 throttled_log = ThrottledLog(log)
 
-CONNECTION_COUNT = 4  # connections; a name keeps to one, as answers for a name come in the order of its calls
-RECONNECT_DELAY_S = 0.05  # wait before a connection that failed is tried again; doubles from there
-BACKOFF_MOST_S = 0.5
-CONNECT_S = 0.5  # a connection that is not up by then never comes up
-SILENCE_TIMEOUT_S = 1.0  # calls are answered or turned away far sooner: a link silent for so long is cut off
-PING_AFTER_S = 2.0  # the counter closes what stands idle for some seconds: a ping before that keeps it
+CONNECTION_COUNT = 4  # all calls for a name go over one, so that their results keep the order of the calls
+RECONNECT_DELAY_S = 0.05  # after a failed connection; doubles with each further failure
+MAX_RECONNECT_DELAY_S = 0.5
+CONNECT_TIMEOUT_S = 0.5
+SILENCE_TIMEOUT_S = 1.0  # a connection on which a call has been unanswered for this long is closed
+PING_AFTER_S = 2.0  # keeps a connection open, as the counter closes those idle for some seconds
 TICK_INTERVAL_S = 0.5
-LATE_S = 0.003  # a time-out noticed later than this shows that the gateway itself stood still
-LINE_MOST = 256
-TOTAL_MOST = 1e15
+STALL_THRESHOLD_S = 0.003  # a timeout that fires later than this shows a stall of the event loop
+MAX_LINE_BYTES = 256
+MAX_TOTAL = 1e15
 
 
 class Call:
-    """One call, or a ping where there is no name. Stays in its link's order of answers when given up."""
+    """One call, or a ping if `name` is empty.
 
-    __slots__ = ("name", "line", "asked", "over", "late", "timer")
+    A call that has timed out stays in its connection's queue, since its answer may still arrive.
+    `called_at_s` is in loop time.
+    """
 
-    def __init__(self, name: str, line: bytes, asked: float):
-        self.name, self.line, self.asked = name, line, asked
-        self.over = self.late = False
+    __slots__ = ("name", "line", "called_at_s", "is_done", "has_rechecked", "timer")
+
+    def __init__(self, name: str, line: bytes, called_at_s: float):
+        self.name, self.line, self.called_at_s = name, line, called_at_s
+        self.is_done = self.has_rechecked = False
         self.timer: asyncio.TimerHandle | None = None
 
 
-class Link(asyncio.Protocol):
-    """One connection to the counter, made anew whenever it ends, until it is retired."""
+class Connection(asyncio.Protocol):
+    """One connection to the counter; it reconnects whenever it ends, until it is retired."""
 
-    def __init__(self, counter: CounterClient, where: Address):
-        self._counter, self._where, self._loop = counter, where, asyncio.get_running_loop()
-        self._transport: asyncio.Transport | None = None  # only while calls can be written
+    def __init__(self, counter: CounterClient, address: Address):
+        self._counter, self._address, self._loop = counter, address, asyncio.get_running_loop()
+        self._transport: asyncio.Transport | None = None  # while connected
         self._unsent: deque[Call] = deque()
-        self._sent: deque[Call] = deque()  # written, not answered, in order
-        self._paused, self._rest, self._quiet_since = False, b"", 0.0
-        self._wait, self._opening = RECONNECT_DELAY_S, False
-        self._heard = False  # on this connection
-        self.up_once = self.retired = False
+        self._sent: deque[Call] = deque()  # written and not answered, in order
+        self._write_paused, self._partial_line, self._quiet_since_s = False, b"", 0.0
+        self._reconnect_delay_s, self._is_opening = RECONNECT_DELAY_S, False
+        self._has_answered = False  # since it last connected
+        self.was_up = self.is_retired = False
 
     def open(self) -> None:
-        if self.retired:
+        """Starts to connect."""
+        if self.is_retired:
             return
-        self._opening = True
-        self._counter.background(self._open())
+        self._is_opening = True
+        self._counter.run_in_background(self._open())
 
     async def _open(self) -> None:
         try:
-            async with asyncio.timeout(CONNECT_S):
-                await self._loop.create_connection(lambda: self, *self._where)
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                await self._loop.create_connection(lambda: self, *self._address)
         except (OSError, TimeoutError):
-            # The time may be up just after it came up: then its end is told by `connection_lost`.
+            # The timeout may strike just after the connection opened; then `connection_lost` follows.
             if self._transport is None:
-                self._again()
+                self._schedule_reconnect()
 
-    def _again(self) -> None:
-        """No connection. What waits here was never written: nothing is added."""
-        self._opening = False
+    def _schedule_reconnect(self) -> None:
+        """Fails the calls that were not written, and reconnects after a delay."""
+        self._is_opening = False
         unsent, self._unsent = self._unsent, deque()
         for call in unsent:
-            self._counter.end(call, io.Outcome.CONNECT_FAILED)
-        if not self.retired:
-            self._loop.call_later(self._wait, self.open)
-        self._wait = min(BACKOFF_MOST_S, self._wait * 2)
+            self._counter.end_call(call, io.Outcome.CONNECT_FAILED)
+        if not self.is_retired:
+            self._loop.call_later(self._reconnect_delay_s, self.open)
+        self._reconnect_delay_s = min(MAX_RECONNECT_DELAY_S, self._reconnect_delay_s * 2)
 
     def add(self, call: Call) -> None:
-        if self._transport is None and not self._opening:
-            self._counter.end(call, io.Outcome.CONNECT_FAILED)
-        elif self._transport is None or self._paused:
+        """Writes a call, or queues it until it can be written; fails it where no connection is expected."""
+        if self._transport is None and not self._is_opening:
+            self._counter.end_call(call, io.Outcome.CONNECT_FAILED)
+        elif self._transport is None or self._write_paused:
             self._unsent.append(call)
         else:
             self._write(call)
 
     def _write(self, call: Call) -> None:
         self._sent.append(call)
-        self._quiet_since = self._loop.time()
+        self._quiet_since_s = self._loop.time()
         self._transport.write(call.line)
-        if self._transport.is_closing():  # the write failed at once: nothing of it has left
+        if self._transport.is_closing():  # the write failed and sent nothing
             self._sent.pop()
-            self._counter.end(call, io.Outcome.CONNECT_FAILED)
+            self._counter.end_call(call, io.Outcome.CONNECT_FAILED)
 
     def withdraw(self, call: Call) -> bool:
-        """Take back a call that was not written; false where it was."""
+        """Removes a call that was not written yet; returns whether there was one."""
         if call in self._unsent:
             self._unsent.remove(call)
             return True
         return False
 
-    def up(self) -> bool:
+    def is_up(self) -> bool:
+        """Whether it is connected."""
         return self._transport is not None
 
-    def quiet(self) -> bool:
-        """Nothing is awaited here that anybody still waits for."""
-        return all(call.over for call in (*self._sent, *self._unsent))
+    def is_quiet(self) -> bool:
+        """Whether no caller waits for a result here."""
+        return all(call.is_done for call in (*self._sent, *self._unsent))
 
     def close(self) -> None:
-        """No calls from here on, and none is out that counts."""
-        self.retired = True
+        """Retires and closes the connection."""
+        self.is_retired = True
         if self._transport is not None:
             self._transport.abort()
 
     def connection_made(self, transport) -> None:
-        if self.retired:
+        if self.is_retired:
             transport.abort()
             return
-        # A call goes out at once, or we are told to pause: so it is known which calls have left.
+        # With no high-water mark, `pause_writing` is called whenever a call was not sent at once.
         transport.set_write_buffer_limits(0)
-        self._transport, self._opening, self._paused, self._rest = transport, False, False, b""
-        self._heard = False
-        self._quiet_since = self._loop.time()
+        self._transport, self._is_opening, self._write_paused, self._partial_line = (
+            transport,
+            False,
+            False,
+            b"",
+        )
+        self._has_answered = False
+        self._quiet_since_s = self._loop.time()
         self.resume_writing()
 
     def pause_writing(self) -> None:
-        self._paused = True
+        self._write_paused = True
 
     def resume_writing(self) -> None:
-        self._paused = False
-        while self._unsent and not self._paused:
+        self._write_paused = False
+        while self._unsent and not self._write_paused:
             self._write(self._unsent.popleft())
 
     def data_received(self, data: bytes) -> None:
-        self._wait, self._heard, self.up_once = RECONNECT_DELAY_S, True, True
-        *lines, self._rest = (self._rest + data).split(b"\n")
+        self._reconnect_delay_s, self._has_answered, self.was_up = RECONNECT_DELAY_S, True, True
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         for line in lines:
-            if not self._answered(line.strip()):
-                self._spoilt(line)
+            if not self._handle_answer(line.strip()):
+                self._abort_after(line)
                 return
-        if len(self._rest) > LINE_MOST:
-            self._answered(b"")
-            self._spoilt(self._rest)
+        if len(self._partial_line) > MAX_LINE_BYTES:
+            self._handle_answer(b"")
+            self._abort_after(self._partial_line)
 
-    def _spoilt(self, line: bytes) -> None:
-        """What comes after it belongs to no call that we know of: those behind it end with the connection."""
-        throttled_log.warning("counter: unexpected answer %r", line[:60])
+    def _abort_after(self, line: bytes) -> None:
+        """Closes the connection after a malformed answer: later ones can't be matched to their calls."""
+        throttled_log.warning("counter: unexpected answer %r; closing the connection", line[:60])
         self._transport.abort()
 
-    def _answered(self, line: bytes) -> bool:
+    def _handle_answer(self, line: bytes) -> bool:
         if not self._sent:
             return False
         call, (word, _, rest) = self._sent.popleft(), line.partition(b" ")
-        total = parse_number(rest, -TOTAL_MOST, TOTAL_MOST)
+        total = parse_number(rest, -MAX_TOTAL, MAX_TOTAL)
         if word == b"ok" and total is not None and call.name:
-            self._counter.end(call, io.Outcome.OK, total)
+            self._counter.end_call(call, io.Outcome.OK, total)
         elif word == b"busy":
-            self._counter.end(call, io.Outcome.OVERLOADED)
+            self._counter.end_call(call, io.Outcome.OVERLOADED)
         elif word == b"error":
-            throttled_log.warning("counter: turned down %r", call.line)
-            self._counter.end(call, io.Outcome.ERROR)
+            throttled_log.warning("counter: call %r was answered with an error", call.line)
+            self._counter.end_call(call, io.Outcome.ERROR)
         elif word == b"pong" and not call.name:
-            call.over = True
-        else:  # something answered: it was added, but to what is not known
-            self._counter.end(call, io.Outcome.OK, None)
+            call.is_done = True
+        else:  # the call was carried out, but its total is unknown
+            self._counter.end_call(call, io.Outcome.OK, None)
             return False
         return True
 
     def connection_lost(self, error: Exception | None) -> None:
-        """What was written may have been added, or may yet be; what was not has not."""
-        self._transport, self._paused = None, False
+        """Ends the calls that were written, which the counter may have carried out or not."""
+        self._transport, self._write_paused = None, False
         sent, self._sent = self._sent, deque()
         for call in sent:
-            self._counter.end(call, io.Outcome.RESET)
-        if self._heard and not self.retired:  # it did well until now: calls may wait for the next one
+            self._counter.end_call(call, io.Outcome.RESET)
+        if self._has_answered and not self.is_retired:  # a working connection: unsent calls wait for the next
             self.open()
         else:
-            self._again()
+            self._schedule_reconnect()
 
     def tick(self) -> None:
+        """Closes a connection that does not answer, and sends a ping on an idle one."""
         if self._transport is None or self._transport.is_closing():
             return
         now = self._loop.time()
-        if self._sent and now - self._sent[0].asked > SILENCE_TIMEOUT_S:
-            # Cut off: the connection would stay open and silent for ever.
+        if self._sent and now - self._sent[0].called_at_s > SILENCE_TIMEOUT_S:
             self._transport.abort()
-        elif not self._sent and not self._paused and now - self._quiet_since > PING_AFTER_S:
+        elif not self._sent and not self._write_paused and now - self._quiet_since_s > PING_AFTER_S:
             self._write(Call("", b"ping\r\n", now))
 
 
 class CounterClient:
-    def __init__(self, where: Address, wait_ms: float, done: Callable[[io.CounterResult], None]):
-        self._where, self._wait_s, self._done = where, wait_ms / 1000.0, done
+    """Makes calls to the counter service; each ends with one `CounterResult` for `on_result`."""
+
+    def __init__(self, address: Address, timeout_ms: float, on_result: Callable[[io.CounterResult], None]):
+        self._address, self._timeout_s, self._on_result = address, timeout_ms / 1000.0, on_result
         self._loop = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task] = set()
-        self._links = [Link(self, where) for _ in range(CONNECTION_COUNT)]
-        # at a new place, each to take over from its link
-        self._next: list[Link | None] = [None] * CONNECTION_COUNT
+        self._connections = [Connection(self, address) for _ in range(CONNECTION_COUNT)]
+        # Connections to a new address, each to take the place of the one with its index.
+        self._replacements: list[Connection | None] = [None] * CONNECTION_COUNT
 
     def start(self) -> None:
-        for link in self._links:
-            link.open()
+        """Opens the connections."""
+        for connection in self._connections:
+            connection.open()
         self._tick()
 
-    def set_address(self, where: Address) -> None:
-        """The counter is elsewhere now. Links there are opened at once; each takes over from the old one when
-        it is up and all calls there have ended: answers for a name come in the order of its calls."""
-        if where == self._where:
+    def set_address(self, address: Address) -> None:
+        """Moves to another address.
+
+        Each new connection opens at once and takes over once it is connected and all calls on the old one
+        have ended, so that the results for a name keep the order of its calls.
+        """
+        if address == self._address:
             return
-        self._where = where
-        for i, early in enumerate(self._next):
-            if early is not None:
-                early.close()
-            self._links[i].retired = True
-            self._next[i] = Link(self, where)
-            self._next[i].open()
-
-    def _link(self, i: int) -> Link:
-        old, new = self._links[i], self._next[i]
-        if new is not None and old.quiet() and (new.up() or not old.up()):
-            self._links[i], self._next[i] = new, None
+        self._address = address
+        for index, replacement in enumerate(self._replacements):
+            if replacement is not None:
+                replacement.close()
+            self._connections[index].is_retired = True
+            self._replacements[index] = Connection(self, address)
+            self._replacements[index].open()
+
+    def _connection(self, index: int) -> Connection:
+        old, new = self._connections[index], self._replacements[index]
+        if new is not None and old.is_quiet() and (new.is_up() or not old.is_up()):
+            self._connections[index], self._replacements[index] = new, None
             old.close()
-        return self._links[i]
+        return self._connections[index]
 
     def _tick(self) -> None:
-        for i in range(CONNECTION_COUNT):
-            self._link(i).tick()
+        for index in range(CONNECTION_COUNT):
+            self._connection(index).tick()
         self._loop.call_later(TICK_INTERVAL_S, self._tick)
 
-    def background(self, work) -> None:
+    def run_in_background(self, work) -> None:
+        """Runs a coroutine as a task and keeps a reference to it until it is done."""
         task = self._loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def add(self, action: io.CounterAdd) -> None:
+        """Makes a call; its result comes within the timeout."""
         line = f"add {action.name} {action.amount:.7g} {max(1, round(action.ttl_ms))}\r\n".encode()
         call = Call(action.name, line, self._loop.time())
-        link = self._link(zlib.crc32(action.name.encode()) % CONNECTION_COUNT)
-        call.timer = self._loop.call_later(self._wait_s, self._late, call, link)
-        link.add(call)
-
-    def _late(self, call: Call, link: Link) -> None:
-        """Given up. Never written, nothing is added; else its answer is still awaited, and dropped."""
-        if self._loop.time() - call.asked > self._wait_s + LATE_S and not call.late:
-            # We stood still ourselves, and timers go before what has come meanwhile: look at that first.
-            call.late = True
-            call.timer = self._loop.call_later(0.001, self._late, call, link)
+        connection = self._connection(zlib.crc32(action.name.encode()) % CONNECTION_COUNT)
+        call.timer = self._loop.call_later(self._timeout_s, self._on_timeout, call, connection)
+        connection.add(call)
+
+    def _on_timeout(self, call: Call, connection: Connection) -> None:
+        """Ends a call that was not answered in time; an answer that comes later is dropped."""
+        if (
+            self._loop.time() - call.called_at_s > self._timeout_s + STALL_THRESHOLD_S
+            and not call.has_rechecked
+        ):
+            # The loop was stalled, and timers run before input that arrived meanwhile: read that first.
+            call.has_rechecked = True
+            call.timer = self._loop.call_later(0.001, self._on_timeout, call, connection)
             return
-        self.end(call, io.Outcome.CONNECT_FAILED if link.withdraw(call) else io.Outcome.TIMEOUT)
+        self.end_call(call, io.Outcome.CONNECT_FAILED if connection.withdraw(call) else io.Outcome.TIMEOUT)
 
-    def end(self, call: Call, outcome: io.Outcome, total: float | None = 0.0) -> None:
-        if call.over:
+    def end_call(self, call: Call, outcome: io.Outcome, total: float | None = 0.0) -> None:
+        if call.is_done:
             return
-        call.over = True
+        call.is_done = True
         if call.timer is not None:
             call.timer.cancel()
         if call.name:
-            self._done(io.CounterResult(call.name, outcome, total, (self._loop.time() - call.asked) * 1000.0))
+            self._on_result(
+                io.CounterResult(call.name, outcome, total, (self._loop.time() - call.called_at_s) * 1000.0)
+            )
--- a/elderhub/discovery.py
+++ b/elderhub/discovery.py
@@ -1,4 +1,8 @@
-"""The list of backends: the one remembered, then a watch that is resumed whenever it ends or falls silent."""
+"""The discovery client: keeps the list of backends current by a watch, reopened when it ends or falls silent.
+
+A watch is a response of the discovery service that goes on for as long as its connection: a list of backends
+or changes to it as JSON objects, with white space in between as a heartbeat.
+"""
 
 from __future__ import annotations
 
@@ -21,25 +25,24 @@
 log = logging.getLogger(__name__)
 throttled_log = ThrottledLog(log)
 
-# a watch says something every 2 s; what a silent one misses counts as told after 6 s
+# Heartbeats come every 2 s. A gateway has to act on a change 6 s after discovery has it, so a silent watch is
+# reopened well before that.
 WATCH_SILENCE_TIMEOUT_S = 3.0
-ANSWER_S = 1.0  # a new watch says something at once, as the agent is near; a silent agent is asked again
-# but where calls wait their turn at a service that all gateways share, after this
-SHARED_ANSWER_TIMEOUT_S = 3.5
-LATE_MOST = 3  # calls there that may yet be answered, beside the last one
-LOOK_S = 0.001  # timers go before what has come meanwhile: so long for that to be read
-CONNECT_S = 1.0  # the agent is near: a connection that is not up by then never comes up
-BACKOFF_S = 0.1  # wait before a new try: what the agent has counts as told, so it is soon asked again
-CALM_SHARE = 0.25  # of the time between calls that the settings name: the first wait where calls are a load
-CALM_MOST_S = 2.5  # and at most this
-# from a watch's last word, or a call without one, to the next call: a change counts after 6 s
+FIRST_ANSWER_TIMEOUT_S = 1.0  # for the first bytes of a new watch of an agent of the gateway's own
+SHARED_ANSWER_TIMEOUT_S = 3.5  # the same of a service that all gateways share, where calls queue
+MAX_PENDING_WATCHES = 3  # earlier watches of a shared service that may still be answered
+STALL_RECHECK_S = 0.001  # timers run before input that arrived in a stall of the loop; this lets it be read
+CONNECT_TIMEOUT_S = 1.0
+RETRY_DELAY_S = 0.1  # before a new watch of an agent of the gateway's own
+# First delay before a new watch of a shared service: a share of the polling interval, with an upper bound.
+SHARED_RETRY_SHARE = 0.25
+MAX_FIRST_SHARED_RETRY_S = 2.5
+# From the last input of a watch, or its start if there was none, to the next watch, for the same 6 s.
 MAX_RECONNECT_GAP_S = 4.5
-# backends that are kept in mind as leaving; as many as are known, if that is more
-MAX_LEAVING_BACKENDS = 4096
-# entries taken in at once, about 0.1 ms of work: a request needs some turns of the loop
-ENTRIES_PER_SLICE = 8
-NAMES_PER_SLICE = 64  # backends of which it is looked up at once whether a whole list named them
-MAX_KNOWN_BACKENDS = 2 * MAX_ENTRIES  # backends: what a list names, and what it is about to leave out
+MAX_LEAVING_BACKENDS = 4096  # remembered as draining or removed, or the number of known backends if higher
+ENTRIES_PER_SLICE = 8  # processed in one turn of the loop, about 0.1 ms of work, to keep requests going
+NAMES_PER_SLICE = 64  # the same for known backends that are looked up in a complete list
+MAX_KNOWN_BACKENDS = 2 * MAX_ENTRIES  # the entries of a list, and the backends that it is about to remove
 PARSE_ERRORS = (ValueError, TypeError, KeyError, AttributeError)
 
 LIFECYCLE_STATES = {
@@ -51,22 +54,25 @@
 
 @dataclass(slots=True)
 class Listing:
-    """A list or changes of it: for the module, and where each backend listens."""
+    """A list of backends or a change to one: the module's event, and the address of each backend by id."""
 
     event: io.BackendsChanged
     addresses: dict[str, Address]
 
 
 def parse_listing(raw: dict) -> Listing:
-    """Discovery's form of a list, as remembered; raises one of PARSE_ERRORS where it is none."""
-    found = [entry for entry in map(_entry, raw.get("instances") or ()) if entry is not None]
-    addresses = {backend.id: where for backend, where in found if where is not None}
-    version, backends = int(raw.get("generation") or 0), tuple(backend for backend, _ in found)
+    """Parses a list in discovery's JSON form, as cached in the configuration; raises one of PARSE_ERRORS.
+
+    Malformed entries are skipped.
+    """
+    entries = [entry for entry in map(_parse_entry, raw.get("instances") or ()) if entry is not None]
+    addresses = {backend.id: address for backend, address in entries if address is not None}
+    version, backends = int(raw.get("generation") or 0), tuple(backend for backend, _ in entries)
     return Listing(io.BackendsChanged(io.ListKind.CACHED, version, backends), addresses)
 
 
-def _entry(raw: dict) -> tuple[io.Backend, Address | None] | None:
-    """A backend and where it listens, unless it is gone; none where it can't be read."""
+def _parse_entry(raw: dict) -> tuple[io.Backend, Address | None] | None:
+    """Returns a backend and its address, which is None if the backend is removed; None if malformed."""
     try:
         backend = io.Backend(
             id=str(raw["instanceId"]),
@@ -78,88 +84,92 @@
             started_ms=float(raw.get("startedAtMs") or 0.0),
         )
         return backend, None if backend.state is io.BackendState.REMOVED else parse_address(raw["hostPort"])
-    except PARSE_ERRORS as error:  # one bad entry must not hide the others
-        throttled_log.warning("discovery: %.200r is passed over: %r", raw, error)
+    except PARSE_ERRORS as error:
+        throttled_log.warning("discovery: skipping malformed entry %.200r: %r", raw, error)
         return None
 
 
 class Watch(asyncio.Protocol):
-    """One watch, until its connection ends and what came over it is taken in. `take` does a slice of that;
-    what is left is done after all else that waits, and until then nothing more is read."""
+    """One watch, until its connection has ended and its input is processed.
+
+    `consume` processes a slice of the input that `ListReader` holds and returns whether there is more. The
+    rest is processed in later turns of the loop, and until then nothing more is read from the socket.
+    """
 
-    def __init__(self, target: str, host: str, take: Callable[[ListReader], bool]):
+    def __init__(self, target: str, host: str, consume: Callable[[ListReader], bool]):
         self._loop = asyncio.get_running_loop()
         self._request = f"GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode()
-        self._take, self._reader = take, ListReader()
-        self._busy = self._complete = self._lost = self._over = False
+        self._consume, self._reader = consume, ListReader()
+        self._is_consuming = self._is_complete = self._is_lost = self._is_stopped = False
         self._parser = httptools.HttpResponseParser(self)
         self.ended = self._loop.create_future()
         self.transport: asyncio.Transport | None = None
-        self.spoke, self.heard_at = False, self._loop.time()  # at all; when it last did, or came up
-        self._blank: bool | None = None  # whether what came last is white space alone
+        # Any input was received; loop time of the last input, or of the start.
+        self.has_answered, self.heard_at_s = False, self._loop.time()
+        self._is_blank: bool | None = None  # the last input is white space only; None without a body
 
     def connection_made(self, transport) -> None:
-        if self._over:
+        if self._is_stopped:
             transport.abort()
             return
-        self.transport, self.heard_at = transport, self._loop.time()
+        self.transport, self.heard_at_s = transport, self._loop.time()
         transport.write(self._request)
 
     def data_received(self, data: bytes) -> None:
-        spoke_at, self._blank = self.heard_at, None
-        self.spoke, self.heard_at = True, self._loop.time()
+        previous_heard_at_s, self._is_blank = self.heard_at_s, None
+        self.has_answered, self.heard_at_s = True, self._loop.time()
         try:
             self._parser.feed_data(data)
-        except httptools.HttpParserError as error:  # what a callback raised is its context
-            throttled_log.warning("discovery: %r", error.__context__ or error)
+        except httptools.HttpParserError as error:  # its context is the error that a callback raised
+            throttled_log.warning("discovery: watch closed: %r", error.__context__ or error)
             self.stop()
             return
-        if self._blank and self._reader.in_object:
-            self.heard_at = spoke_at  # white space does not bring an object to its end
-        if not self._busy:
-            self._work()
+        if self._is_blank and self._reader.in_object:
+            self.heard_at_s = previous_heard_at_s  # white space inside an object is no heartbeat
+        if not self._is_consuming:
+            self._run_consumer()
 
     def on_headers_complete(self) -> None:
         if self._parser.get_status_code() != 200:
             raise ValueError(f"answered {self._parser.get_status_code()}")
 
     def on_body(self, body: bytes) -> None:
-        self._blank = self._blank is not False and body.isspace()
+        self._is_blank = self._is_blank is not False and body.isspace()
         self._reader.feed(body)
 
     def on_message_complete(self) -> None:
-        self._complete = True
+        self._is_complete = True
 
-    def _work(self) -> None:
-        if self._over:
+    def _run_consumer(self) -> None:
+        if self._is_stopped:
             return
         try:
-            more = self._take(self._reader)
+            more = self._consume(self._reader)
         except Exception as error:
-            throttled_log.warning("discovery: %r", error)
+            throttled_log.warning("discovery: watch closed: %r", error)
             self.stop()
             return
-        if more != self._busy and not self._lost:
+        if more != self._is_consuming and not self._is_lost:
             (self.transport.pause_reading if more else self.transport.resume_reading)()
-        if self._busy or more:
-            self.heard_at = self._loop.time()  # what came meanwhile is still to be read
-        self._busy = more
+        if self._is_consuming or more:
+            self.heard_at_s = self._loop.time()  # reading was paused, so heartbeats may lie unread
+        self._is_consuming = more
         if more:
-            self._loop.call_soon(self._work)
-        elif self._lost:
+            self._loop.call_soon(self._run_consumer)
+        elif self._is_lost:
             self._end()
-        elif self._complete:
+        elif self._is_complete:
             self.transport.close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        self._parser = None  # they hold each other
-        self._lost = True
-        if not self._busy:
+        self._parser = None  # breaks the reference cycle with the parser
+        self._is_lost = True
+        if not self._is_consuming:
             self._end()
 
     def stop(self) -> None:
-        """What is left of it is not heard."""
-        self._over = True
+        """Closes the watch and drops its unprocessed input."""
+        self._is_stopped = True
         if self.transport is not None:
             self.transport.abort()
         self._end()
@@ -168,237 +178,277 @@
         if not self.ended.done():
             self.ended.set_result(None)
 
-    async def fallen_silent(self, answer_s: float) -> None:
-        """Until it has ended, or said nothing for so long that it is taken for dead."""
+    async def wait_for_silence(self, answer_timeout_s: float) -> None:
+        """Returns once the watch has ended or been silent for too long.
+
+        `answer_timeout_s` applies before its first input, WATCH_SILENCE_TIMEOUT_S after it.
+        """
         while not self.ended.done():
-            left_s = self.heard_at + (WATCH_SILENCE_TIMEOUT_S if self.spoke else answer_s) - self._loop.time()
-            if left_s > 0.0:
-                # it may speak meanwhile
-                await asyncio.wait([self.ended], timeout=min(left_s, WATCH_SILENCE_TIMEOUT_S))
+            remaining_s = (
+                self.heard_at_s
+                + (WATCH_SILENCE_TIMEOUT_S if self.has_answered else answer_timeout_s)
+                - self._loop.time()
+            )
+            if remaining_s > 0.0:
+                # The first input shortens the timeout.
+                await asyncio.wait([self.ended], timeout=min(remaining_s, WATCH_SILENCE_TIMEOUT_S))
                 continue
-            heard_at = self.heard_at
-            await asyncio.sleep(LOOK_S)  # we may have stood still ourselves
-            if self.heard_at == heard_at:
+            heard_at_s = self.heard_at_s
+            await asyncio.sleep(STALL_RECHECK_S)  # the loop may have been stalled
+            if self.heard_at_s == heard_at_s:
                 return
 
 
-class Taken:
-    """What has been taken in of the object that is under way."""
+class PendingList:
+    """State of the list or change that is being received."""
 
     def __init__(self) -> None:
         self.version: int | None = None
-        self.stale: bool | None = None  # older than one before
-        # Of text and nothing else, so that the collector passes it over; a set it would go through.
+        self.is_stale: bool | None = None  # older than the newest one; None until its version is known
+        # A dict of strings only is not tracked by the garbage collector, while a set would be traversed.
         self.listed_ids: dict[str, None] = {}
-        self.held: list[tuple[io.Backend, Address | None]] = []  # until it shows whether it is stale
-        self.unnamed: Iterator[str] | None = None  # after the end of a whole list: what it may have left out
+        # Entries that can be judged only once it is known whether the list is stale.
+        self.undecided: list[tuple[io.Backend, Address | None]] = []
+        # Known backends still to be checked for absence, after the end of a complete list.
+        self.unlisted_ids: Iterator[str] | None = None
 
 
 class DiscoveryClient:
-    """Keeps a watch open; tells `told` what each list changes, in parts. The last part may hold nothing."""
+    """Keeps a watch open and calls `on_change` with what each list changes, in parts.
+
+    The last part of a list may be empty. `version` is that of the cached list. `poll_interval_s` is above 0
+    where discovery is a service that all gateways share and calls are a load for it. `random_unit` returns
+    numbers evenly distributed over [0, 1).
+    """
 
     def __init__(
         self,
-        where: Address,
+        address: Address,
         version: int,
-        told: Callable[[Listing], None],
-        ask_every_s: float = 0.0,
-        draw: Callable[[], float] | None = None,
+        on_change: Callable[[Listing], None],
+        poll_interval_s: float = 0.0,
+        random_unit: Callable[[], float] | None = None,
     ):
-        self._ask_every_s = ask_every_s  # above 0 where calls load a service that all gateways share
-        self._wait, self._draw = 0.0, draw or random.random  # evenly from [0, 1)
-        self._where, self._version, self._told = where, version, told
+        self._poll_interval_s = poll_interval_s
+        self._retry_wait_s, self._random_unit = 0.0, random_unit or random.random
+        self._address, self._version, self._on_change = address, version, on_change
         self._watch: Watch | None = None
-        self._late: deque[Watch] = deque()  # calls that were not answered in time, and may be yet
-        self._heard_at = 0.0  # when discovery was last heard before this watch, or this began
-        self._silent_since: float | None = None  # before the first object of this watch
-        self._lists = 0  # heard so far
-        self._newest = version  # of all places so far
-        self._known: dict[str, tuple[io.Backend, Address]] = {}  # those not gone, as last told
-        self._leaving: dict[str, float] = {}  # or left out of a whole list; with their start
-        self._current_list = Taken()
+        self._pending_watches: deque[Watch] = deque()  # not answered in time, but may still be
+        self._heard_at_s = 0.0  # loop time of the last input before this watch, or of the start
+        self._silent_since_s: float | None = None  # the same, until the first object of this watch
+        self._list_count = 0  # received so far
+        self._newest_version = version  # over all addresses of discovery
+        self._known: dict[
+            str, tuple[io.Backend, Address]
+        ] = {}  # as last reported; removed ones are not in it
+        self._leaving: dict[str, float] = {}  # start time of backends that drain or were removed
+        self._current_list = PendingList()
         self._task: asyncio.Task | None = None
-        self.first_list_received = asyncio.Event()  # set with the first list that is not merely remembered
+        self.first_list_received = asyncio.Event()  # set by the first list of a watch, not by the cached one
 
-    def set_known_backends(self, found: Listing) -> None:
-        """What is known before the first watch."""
+    def set_known_backends(self, listing: Listing) -> None:
+        """Sets the backends that are known before the first watch."""
         self._known = {
-            backend.id: (backend, found.addresses[backend.id])
-            for backend in found.event.backends
+            backend.id: (backend, listing.addresses[backend.id])
+            for backend in listing.event.backends
             if backend.state is not io.BackendState.REMOVED
         }
 
     def start(self) -> None:
+        """Starts to watch."""
         if self._watch is None:
-            self._heard_at = asyncio.get_running_loop().time()
+            self._heard_at_s = asyncio.get_running_loop().time()
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def stop(self) -> None:
+        """Closes all watches and opens no more."""
         if self._task is not None:
             self._task.cancel()
         if self._watch is not None:
             self._watch.stop()
-        while self._late:
-            self._late.pop().stop()
+        while self._pending_watches:
+            self._pending_watches.pop().stop()
 
     def restart(self, full: bool = False) -> None:
-        """Watch anew, from the whole list if that is wanted."""
+        """Reopens the watch; with `full`, it starts with the complete list."""
         if full:
             self._version = 0
         if self._watch is not None and self._watch.transport is not None:
             self._watch.stop()
 
-    def set_address(self, where: Address) -> None:
-        """Watch there, at once, and from the whole list: versions of the old place may mean nothing there."""
-        if where != self._where:
+    def set_address(self, address: Address) -> None:
+        """Moves the watch to another address.
+
+        It starts there with the complete list, as versions of the old address may have no meaning there.
+        """
+        if address != self._address:
             self.stop()
-            self._where, self._version, self._wait = where, 0, 0.0
+            self._address, self._version, self._retry_wait_s = address, 0, 0.0
             self.start()
 
     async def _run(self) -> None:
         while True:
-            before = self._lists
-            await self._watched()
-            silent_s = asyncio.get_running_loop().time() - self._watch.heard_at
-            await asyncio.sleep(self._retry_delay_s(self._lists > before, silent_s))
-
-    def _retry_delay_s(self, heard: bool, silent_s: float) -> float:
-        """The wait before the next watch, in s; `heard`: the last one brought a list; `silent_s`: since its
-        last word, or its call. Drawn at random where all gateways share the service: many watches end at
-        one moment, and would all be back at one."""
-        if self._ask_every_s <= 0.0:
-            return BACKOFF_S
-        least = min(CALM_MOST_S, self._ask_every_s * CALM_SHARE)
-        self._wait = least if heard else min(self._ask_every_s, self._wait * 2 or least)
-        return min(self._wait, max(0.0, MAX_RECONNECT_GAP_S - silent_s)) * self._draw()
-
-    async def _watched(self) -> None:
-        """One watch from its start to its end, or another that was given up before and speaks first."""
+            list_count = self._list_count
+            await self._watch_until_silent()
+            silent_s = asyncio.get_running_loop().time() - self._watch.heard_at_s
+            await asyncio.sleep(self._retry_delay_s(self._list_count > list_count, silent_s))
+
+    def _retry_delay_s(self, had_list: bool, silent_s: float) -> float:
+        """Returns the delay before the next watch, in seconds.
+
+        `had_list` says whether the last watch brought a list, `silent_s` how long ago its last input, or else
+        its start, was. For a shared service the delay is random and grows, since the watches of many gateways
+        may end at the same moment.
+        """
+        if self._poll_interval_s <= 0.0:
+            return RETRY_DELAY_S
+        first_wait_s = min(MAX_FIRST_SHARED_RETRY_S, self._poll_interval_s * SHARED_RETRY_SHARE)
+        self._retry_wait_s = (
+            first_wait_s if had_list else min(self._poll_interval_s, self._retry_wait_s * 2 or first_wait_s)
+        )
+        return min(self._retry_wait_s, max(0.0, MAX_RECONNECT_GAP_S - silent_s)) * self._random_unit()
+
+    async def _watch_until_silent(self) -> None:
+        """Follows one watch until it ends or falls silent; an earlier one that is answered replaces it."""
         try:
-            if not self._speaks():
+            if not self._has_answering_watch():
                 await self._open()
             watch = None
             while watch is not self._watch:
                 watch = self._watch
-                await watch.fallen_silent(SHARED_ANSWER_TIMEOUT_S if self._ask_every_s > 0.0 else ANSWER_S)
-            self._put_off(watch)
-        except asyncio.CancelledError:  # what an old place still says is not heard
+                await watch.wait_for_silence(
+                    SHARED_ANSWER_TIMEOUT_S if self._poll_interval_s > 0.0 else FIRST_ANSWER_TIMEOUT_S
+                )
+            self._give_up_watch(watch)
+        except asyncio.CancelledError:  # further input of an old address is ignored
             self._watch.stop()
             raise
 
-    def _speaks(self) -> bool:
-        """Whether a watch that was given up has spoken since."""
-        return self._watch is not None and self._watch.spoke and not self._watch.ended.done()
+    def _has_answering_watch(self) -> bool:
+        """Whether an earlier watch has been answered since and is still open."""
+        return self._watch is not None and self._watch.has_answered and not self._watch.ended.done()
 
     async def _open(self) -> None:
         target = "/v1/servers?watch=1" + (f"&after={self._version}" if self._version else "")
-        host = f"{self._where[0]}:{self._where[1]}"
+        host = f"{self._address[0]}:{self._address[1]}"
         loop = asyncio.get_running_loop()
-        self._current_list = Taken()  # a list that broke off leaves out nothing; what it said stands
-        if self._watch is not None and self._watch.spoke:
-            self._heard_at = self._watch.heard_at
-        self._silent_since = self._heard_at
-        watch = self._watch = Watch(target, host, lambda reader: self._take_from(watch, reader))
+        # An interrupted list removes no backend; its entries up to then stay applied.
+        self._current_list = PendingList()
+        if self._watch is not None and self._watch.has_answered:
+            self._heard_at_s = self._watch.heard_at_s
+        self._silent_since_s = self._heard_at_s
+        watch = self._watch = Watch(target, host, lambda reader: self._consume_from(watch, reader))
         try:
-            async with asyncio.timeout(CONNECT_S):
-                await loop.create_connection(lambda: watch, *self._where)
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                await loop.create_connection(lambda: watch, *self._address)
         except (OSError, TimeoutError):
             watch.stop()
 
-    def _put_off(self, watch: Watch) -> None:
-        """A call that has its turn yet to come at a shared service is not given up for the next one: it would
-        never be heard. All else ends."""
-        if self._ask_every_s <= 0.0 or watch.spoke or watch.ended.done():
+    def _give_up_watch(self, watch: Watch) -> None:
+        """Closes a watch, unless it may still wait for its turn at a shared service.
+
+        Replacing such a watch by a new one each time would mean that none is ever answered.
+        """
+        if self._poll_interval_s <= 0.0 or watch.has_answered or watch.ended.done():
             watch.stop()
             return
-        self._late.append(watch)
-        if len(self._late) > LATE_MOST:
-            self._late.popleft().stop()
-
-    def _take_from(self, watch: Watch, reader: ListReader) -> bool:
-        """What a watch says. The first one to speak is the one that counts; the others end."""
-        if watch in self._late:
-            self._late.remove(watch)
+        self._pending_watches.append(watch)
+        if len(self._pending_watches) > MAX_PENDING_WATCHES:
+            self._pending_watches.popleft().stop()
+
+    def _consume_from(self, watch: Watch, reader: ListReader) -> bool:
+        """Processes a slice of a watch's input. The first watch that is answered is kept, the others end."""
+        if watch in self._pending_watches:
+            self._pending_watches.remove(watch)
             if watch is not self._watch:
-                before, self._watch = self._watch, watch
-                before.stop()
-        while self._late:
-            self._late.pop().stop()
-        return self._take_slice(reader)
-
-    def _take_slice(self, reader: ListReader) -> bool:
-        """Take in a slice of what came; whether there is more to do."""
-        taken, changes = self._current_list, Listing(io.BackendsChanged(io.ListKind.DELTA), {})
+                replaced, self._watch = self._watch, watch
+                replaced.stop()
+        while self._pending_watches:
+            self._pending_watches.pop().stop()
+        return self._consume_slice(reader)
+
+    def _consume_slice(self, reader: ListReader) -> bool:
+        """Processes and reports a slice of the input; returns whether there is more."""
+        pending, changes = self._current_list, Listing(io.BackendsChanged(io.ListKind.DELTA), {})
         backends: list[io.Backend] = []
-        if taken.unnamed is None:
+        if pending.unlisted_ids is None:
             part = reader.read(ENTRIES_PER_SLICE)
             if part is None:
                 return False
-            self._entries(part, backends, changes.addresses)
-            ends = part.is_last
-        if taken.unnamed is not None:
-            names = list(islice(taken.unnamed, NAMES_PER_SLICE))
-            backends += [self._gone(name) for name in names if name not in taken.listed_ids]
-            ends = len(names) < NAMES_PER_SLICE
-        if backends or ends:
-            changes.event.version, changes.event.backends = taken.version or 0, tuple(backends)
-            if self._silent_since is not None:
-                changes.event.outage_ms = (self._watch.heard_at - self._silent_since) * 1000.0
-            self._told(changes)
-        if ends:
-            self._silent_since = None
-            self._version, self._lists, self._current_list = taken.version, self._lists + 1, Taken()
+            self._consume_entries(part, backends, changes.addresses)
+            is_last = part.is_last
+        if pending.unlisted_ids is not None:
+            ids = list(islice(pending.unlisted_ids, NAMES_PER_SLICE))
+            backends += [self._remove_unlisted(name) for name in ids if name not in pending.listed_ids]
+            is_last = len(ids) < NAMES_PER_SLICE
+        if backends or is_last:
+            changes.event.version, changes.event.backends = pending.version or 0, tuple(backends)
+            if self._silent_since_s is not None:
+                changes.event.outage_ms = (self._watch.heard_at_s - self._silent_since_s) * 1000.0
+            self._on_change(changes)
+        if is_last:
+            self._silent_since_s = None
+            self._version, self._list_count, self._current_list = (
+                pending.version,
+                self._list_count + 1,
+                PendingList(),
+            )
             self.first_list_received.set()
-        return reader.has_unread() or self._current_list.unnamed is not None
-
-    def _entries(self, part: ListPart, backends: list[io.Backend], addresses: dict[str, Address]) -> None:
-        """What of a part is a change."""
-        taken = self._current_list
-        if taken.version is None and (part.is_last or part.generation is not None):
-            taken.version = int(part.generation or 0)
-            taken.stale = taken.version < self._newest
-            self._newest = max(self._newest, taken.version)
-        found = map(_entry, part.entries)
-        if taken.held and taken.stale is not None:
-            found, taken.held = [*taken.held, *found], []
-        for entry in found:
-            if entry is not None and self._changes(*entry):
+        return reader.has_unread() or self._current_list.unlisted_ids is not None
+
+    def _consume_entries(
+        self, part: ListPart, backends: list[io.Backend], addresses: dict[str, Address]
+    ) -> None:
+        """Adds the entries of a part that change anything to `backends` and `addresses`."""
+        pending = self._current_list
+        if pending.version is None and (part.is_last or part.generation is not None):
+            pending.version = int(part.generation or 0)
+            pending.is_stale = pending.version < self._newest_version
+            self._newest_version = max(self._newest_version, pending.version)
+        entries = map(_parse_entry, part.entries)
+        if pending.undecided and pending.is_stale is not None:
+            entries, pending.undecided = [*pending.undecided, *entries], []
+        for entry in entries:
+            if entry is not None and self._apply_entry(*entry):
                 backends.append(entry[0])
                 addresses[entry[0].id] = entry[1]
         if part.is_last and part.reset:
-            taken.unnamed = iter(list(self._known))
-
-    def _changes(self, backend: io.Backend, where: Address | None) -> bool:
-        """Whether an entry differs from what is known, which it then is. A list older than one before, as a
-        new place may have that is behind, takes no leave back: only another process under that name does."""
-        name, taken, known = backend.id, self._current_list, self._known.get(backend.id)
-        # the one that is kept: the other goes at once
-        taken.listed_ids[known[0].id if known else name] = None
+            pending.unlisted_ids = iter(list(self._known))
+
+    def _apply_entry(self, backend: io.Backend, address: Address | None) -> bool:
+        """Records an entry; returns whether it differs from what is known.
+
+        In a stale list, as another address of discovery may have, a leaving backend stays draining unless it
+        has restarted.
+        """
+        name, pending, known = backend.id, self._current_list, self._known.get(backend.id)
+        # The id object that is kept in `_known`, so that the one just decoded is freed.
+        pending.listed_ids[known[0].id if known else name] = None
         if backend.state is io.BackendState.UP and backend.started_ms <= self._leaving.get(name, -1.0):
-            if taken.stale is None:
-                taken.held.append((backend, where))
+            if pending.is_stale is None:
+                pending.undecided.append((backend, address))
                 return False
-            if taken.stale:
+            if pending.is_stale:
                 backend.state = io.BackendState.DRAINING
         if backend.state is io.BackendState.UP:
             self._leaving.pop(name, None)
         else:
-            self._leave(name, max(backend.started_ms, known[0].started_ms if known else 0.0))
+            self._note_leaving(name, max(backend.started_ms, known[0].started_ms if known else 0.0))
         if backend.state is io.BackendState.REMOVED:
             return self._known.pop(name, None) is not None
-        if known == (backend, where):
+        if known == (backend, address):
             return False
         if known is None and len(self._known) >= MAX_KNOWN_BACKENDS:
             raise ValueError(f"over {MAX_KNOWN_BACKENDS} backends")
-        self._known[name] = backend, where
+        self._known[name] = backend, address
         return True
 
-    def _gone(self, name: str) -> io.Backend:
+    def _remove_unlisted(self, name: str) -> io.Backend:
         backend, _ = self._known.pop(name)
-        self._leave(name, backend.started_ms)
+        self._note_leaving(name, backend.started_ms)
         return replace(backend, state=io.BackendState.REMOVED)
 
-    def _leave(self, name: str, started: float) -> None:
-        self._leaving[name] = started
+    def _note_leaving(self, name: str, started_ms: float) -> None:
+        self._leaving[name] = started_ms
         while len(self._leaving) > max(MAX_LEAVING_BACKENDS, len(self._known)):
             del self._leaving[next(iter(self._leaving))]
--- a/elderhub/peers.py
+++ b/elderhub/peers.py
@@ -1,4 +1,4 @@
-"""Short messages between gateways, over UDP."""
+"""Datagrams between gateways, over UDP."""
 
 from __future__ import annotations
 
@@ -13,35 +13,42 @@
 
 log = logging.getLogger(__name__)
 
-MOST_BYTES = 256
+MAX_PAYLOAD_BYTES = 256
 
 
 class Peers(asyncio.DatagramProtocol):
-    def __init__(self, config: Config, heard: Callable[[io.PeerMessage], None]):
-        self._peers, self._all, self._me = config.peers, config.peers_all, config.settings.node_id
-        self._number: dict[Address, int] = {peer: i for i, peer in enumerate(config.peers)}
-        self._heard = heard
+    """Sends and receives messages of up to MAX_PAYLOAD_BYTES; those of unknown senders are ignored."""
+
+    def __init__(self, config: Config, on_message: Callable[[io.PeerMessage], None]):
+        self._peers, self._broadcast_address, self._node_id = (
+            config.peers,
+            config.peers_all,
+            config.settings.node_id,
+        )
+        self._index_by_address: dict[Address, int] = {peer: index for index, peer in enumerate(config.peers)}
+        self._on_message = on_message
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport) -> None:
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        sender = self._number.get(addr[:2])
-        if sender is not None and sender != self._me and len(data) <= MOST_BYTES:
-            self._heard(io.PeerMessage(sender, data))
+        sender = self._index_by_address.get(addr[:2])
+        if sender is not None and sender != self._node_id and len(data) <= MAX_PAYLOAD_BYTES:
+            self._on_message(io.PeerMessage(sender, data))
 
     def error_received(self, error: OSError) -> None:
-        """A peer that is down: messages may be lost, nothing waits for them."""
+        """Ignores the error of a peer that is down, as messages may be lost."""
 
     def send(self, action: io.SendPeerMessage) -> None:
+        """Sends a message to one peer, or to all, over the broadcast address if there is one."""
         if self._transport is None or self._transport.is_closing():
             return
-        if len(action.payload) > MOST_BYTES:
-            log.error("a message of %d bytes to a peer is dropped", len(action.payload))
-        elif action.to is None and self._all is not None:
-            self._transport.sendto(action.payload, self._all)
+        if len(action.payload) > MAX_PAYLOAD_BYTES:
+            log.error("dropping a message of %d bytes to a peer: over the limit", len(action.payload))
+        elif action.to is None and self._broadcast_address is not None:
+            self._transport.sendto(action.payload, self._broadcast_address)
         else:
-            for i, peer in enumerate(self._peers):
-                if i == action.to or action.to is None and i != self._me:
+            for index, peer in enumerate(self._peers):
+                if index == action.to or action.to is None and index != self._node_id:
                     self._transport.sendto(action.payload, peer)
--- a/elderhub/system.py
+++ b/elderhub/system.py
@@ -1,4 +1,4 @@
-"""What a gateway takes from the system it runs on, beside its event loop: clocks, chance, sockets."""
+"""What a gateway uses of its operating system beside the event loop: clocks, randomness and sockets."""
 
 from __future__ import annotations
 
@@ -8,36 +8,36 @@
 import sys
 import time
 
-LAST_DATA_RECEIVED = 52  # where Linux's struct tcp_info has tcpi_last_data_recv, four bytes, in ms
-TCP_INFO_BYTES = LAST_DATA_RECEIVED + 4
+TCP_INFO_LAST_DATA_RECV_OFFSET = 52  # of tcpi_last_data_recv in Linux's struct tcp_info: four bytes, in ms
+TCP_INFO_BYTES = TCP_INFO_LAST_DATA_RECV_OFFSET + 4
 
 
 class System:
-    """The real one. `Host` takes another with the same methods, as the emulator's."""
+    """The real system. `Host` also takes a substitute with the same methods, such as the emulator's."""
 
     unix_time = staticmethod(time.time)  # in s
     monotonic = staticmethod(time.monotonic)  # in s
-    poll = staticmethod(select.poll)  # an object as `select.poll` makes it, for file numbers of connections
+    poll = staticmethod(select.poll)  # returns a poll object for the file descriptors of connections
 
     def random(self) -> float:
-        """Evenly from [0, 1)."""
+        """Returns a random number evenly distributed over [0, 1)."""
         return random.random()
 
     def listen(self, host: str, port: int, backlog: int) -> socket.socket:
-        """A listening socket that does not block; raises OSError. Its loop knows it by `add_reader`."""
-        listening = socket.create_server((host, port), backlog=backlog)
-        listening.setblocking(False)
-        return listening
+        """Opens a non-blocking listening socket, usable with the loop's `add_reader`; raises OSError."""
+        listener = socket.create_server((host, port), backlog=backlog)
+        listener.setblocking(False)
+        return listener
 
     def received_ago_ms(self, sock: socket.socket) -> float | None:
-        """How long ago the last bytes came on a TCP connection; none where that is not known."""
+        """Returns how long ago, in ms, a TCP connection last received data; None if unknown."""
         try:
             info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
         except (OSError, AttributeError):
             return None
         if len(info) < TCP_INFO_BYTES:
             return None
-        return float(int.from_bytes(info[LAST_DATA_RECEIVED:TCP_INFO_BYTES], sys.byteorder))
+        return float(int.from_bytes(info[TCP_INFO_LAST_DATA_RECV_OFFSET:TCP_INFO_BYTES], sys.byteorder))
 
 
 REAL_SYSTEM = System()
--- a/elderhub/wire.py
+++ b/elderhub/wire.py
@@ -1,4 +1,4 @@
-"""What the parts share: addresses, the limits and headers of HTTP/1.1, load reports."""
+"""Shared parsing: addresses, limits and headers of HTTP/1.1, numbers, load reports; and a throttled log."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def parse_address(text: object) -> Address:
-    """`host:port` as a pair; raises ValueError."""
+    """Parses `host:port`; raises ValueError."""
     if not isinstance(text, str):
         raise ValueError(f"{text!r} is not an address")
     host, colon, port = text.rpartition(":")
@@ -35,42 +35,46 @@
     return host, int(port)
 
 
-NUMBER = re.compile(rb"[+-]?\d{1,15}(\.\d{1,32})?([eE][+-]?\d{1,2})?")
+NUMBER_PATTERN = re.compile(rb"[+-]?\d{1,15}(\.\d{1,32})?([eE][+-]?\d{1,2})?")
 
 
-def parse_number(text: bytes, least: float, most: float) -> float | None:
-    """A decimal number in range; none where it is another thing, as `float` also takes nan, inf and 1_0."""
-    if not NUMBER.fullmatch(text):
+def parse_number(text: bytes, minimum: float, maximum: float) -> float | None:
+    """Parses a decimal number; returns None if it is out of range or not of this form.
+
+    `float` alone accepts nan, inf and 1_0 as well.
+    """
+    if not NUMBER_PATTERN.fullmatch(text):
         return None
     value = float(text)
-    return value if least <= value <= most else None
+    return value if minimum <= value <= maximum else None
 
 
 def parse_load_report(text: bytes | None) -> dict[str, float] | None:
-    """A load report as `name=value` pairs; pairs that are none are passed over."""
+    """Parses a load report of `name=value` pairs, skipping malformed ones; None without a report."""
     if not text:
         return None
-    out = {}
+    report = {}
     for pair in text.split(b","):
         name, _, value = pair.strip().partition(b"=")
-        figure = parse_number(value.strip(), 0.0, 1e9)
-        if name and figure is not None:
-            out[name.decode("latin-1")] = figure
-    return out
+        number = parse_number(value.strip(), 0.0, 1e9)
+        if name and number is not None:
+            report[name.decode("latin-1")] = number
+    return report
 
 
 class ThrottledLog:
-    """A log for what others cause: a line a second at most, so that nobody can flood it."""
+    """Logs warnings that remote parties cause, at most one a second, so that they can't flood the log."""
 
     def __init__(self, log: logging.Logger):
-        self._log, self._next, self._left_out = log, 0.0, 0
+        self._log, self._next_allowed_s, self._suppressed_count = log, 0.0, 0
 
     def warning(self, text: str, *args: object) -> None:
+        """Logs a warning, with the number of those suppressed before it."""
         now = time.monotonic()
-        if now < self._next:
-            self._left_out += 1
+        if now < self._next_allowed_s:
+            self._suppressed_count += 1
             return
-        if self._left_out:
-            text += f" ({self._left_out} more of that kind)"
-        self._next, self._left_out = now + 1.0, 0
+        if self._suppressed_count:
+            text += f" ({self._suppressed_count} earlier warnings suppressed)"
+        self._next_allowed_s, self._suppressed_count = now + 1.0, 0
         self._log.warning(text, *args)
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -28,7 +28,7 @@
         return [x.outcome for x in self.told]
 
     async def up(self):
-        await wait_until(lambda: all(link._transport for link in self.counter._links))
+        await wait_until(lambda: all(connection._transport for connection in self.counter._connections))
 
 
 @pytest.fixture(autouse=True)
@@ -117,7 +117,7 @@
         caller = Caller(counter.port, wait_ms=200.0)
         caller.call("slow")
         assert await caller.outcomes() == [io.Outcome.TIMEOUT]
-        caller.counter._wait_s = 20.0
+        caller.counter._timeout_s = 20.0
         caller.call("a", "b")
         release.set()
         assert await caller.outcomes(3) == [io.Outcome.TIMEOUT, io.Outcome.OK, io.Outcome.OK]
@@ -159,7 +159,7 @@
         caller.call("a")
         assert await caller.outcomes() == [io.Outcome.OK]
         counter.writers[0].transport.abort()
-        await wait_until(lambda: not caller.counter._links[0].up() or counter.connections == 2)
+        await wait_until(lambda: not caller.counter._connections[0].is_up() or counter.connections == 2)
         caller.call("b")
         assert await caller.outcomes(2) == [io.Outcome.OK] * 2
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -72,7 +72,7 @@
     reader = ListReader()
     for one in lists:
         reader.feed(json.dumps(one).encode() + b"\n")
-        while discovery._take_slice(reader):
+        while discovery._consume_slice(reader):
             pass
 
 
@@ -216,11 +216,11 @@
     return [discovery._retry_delay_s(heard, 0.0) for heard in (True, False, False, False, False)]
 
 
-@pytest.mark.parametrize("ask_every_s", [10.0, 60.0])
-def test_many_gateways_that_lose_a_shared_discovery_come_back_apart_and_ever_more_seldom(ask_every_s):
+@pytest.mark.parametrize("poll_interval_s", [10.0, 60.0])
+def test_many_gateways_that_lose_a_shared_discovery_come_back_apart_and_ever_more_seldom(poll_interval_s):
     # As seldom as a change allows that counts as told 6 s after discovery had it.
     async def scene():
-        fleet = [paused(ask_every_s=ask_every_s) for _ in range(400)]
+        fleet = [paused(poll_interval_s=poll_interval_s) for _ in range(400)]
         for pauses, most in zip(zip(*fleet, strict=True), (2.5, 4.5, 4.5, 4.5, 4.5), strict=True):
             tenths = [int(10 * pause / most) for pause in pauses]
             assert max(pauses) <= most and max(tenths.count(i) for i in range(10)) < 100
@@ -278,13 +278,13 @@
             watch.data_received(head + b"%x\r\n%b\n\r\n" % (len(line) + 1, line))
 
 
-def watched(play, ask_every_s=0.0):
+def watched(play, poll_interval_s=0.0):
     """When each watch was opened, and each list came, while `play` says what the agent does."""
     agent, told = Agent(), []
 
     async def scene(loop):
         discovery = watching.DiscoveryClient(
-            ("agent", 1), 0, lambda found: told.append((loop.now_s, found.event.version)), ask_every_s
+            ("agent", 1), 0, lambda found: told.append((loop.now_s, found.event.version)), poll_interval_s
         )
         play(loop, agent)
         discovery.start()
@@ -295,15 +295,15 @@
     return agent.opened, told
 
 
-@pytest.mark.parametrize("ask_every_s", [0.0, 10.0, 60.0])
+@pytest.mark.parametrize("poll_interval_s", [0.0, 10.0, 60.0])
 @pytest.mark.parametrize("beats", [0, 1, 2, 3, 5])
-def test_a_watch_fallen_silent_is_opened_anew_before_what_it_misses_counts_as_told(beats, ask_every_s):
+def test_a_watch_fallen_silent_is_opened_anew_before_what_it_misses_counts_as_told(beats, poll_interval_s):
     # Looked at in windows, one that spoke at the start of a window was taken for dead two windows later.
     def play(loop, agent):
         for i in range(beats):
             loop.call_at(2.0 * (i + 1), lambda: agent.say(agent.watch))
 
-    opened, _ = watched(play, ask_every_s)
+    opened, _ = watched(play, poll_interval_s)
     silent = 2.0 * beats
     assert opened[0] == 0.0 and silent + 2.0 < opened[1] < silent + TOLD_S
 
@@ -358,31 +358,31 @@
 MARGIN_S = 0.5  # left for the turn of the call and the way of the list
 
 
-@pytest.mark.parametrize("ask_every_s", [0.0, 10.0, 60.0])
+@pytest.mark.parametrize("poll_interval_s", [0.0, 10.0, 60.0])
 @pytest.mark.parametrize(
     "how", ["falls silent", "fails at once", "ends unheard", "refused", "never comes up"]
 )
 def test_a_change_is_heard_before_it_counts_as_told_whatever_became_of_the_last_call(
-    how, ask_every_s, monkeypatch
+    how, poll_interval_s, monkeypatch
 ):
     monkeypatch.setattr(watching.random, "random", lambda: 0.999)  # the longest pauses
     for k in range(40):
         back = 5.2 + 0.37 * k
-        _, told = watched(out_of_reach(how, 5.0, back), ask_every_s)
+        _, told = watched(out_of_reach(how, 5.0, back), poll_interval_s)
         heard = next((at for at, version in told if version == 2), 1e9)
         assert heard - back <= TOLD_S - MARGIN_S, (back, told)
 
 
-@pytest.mark.parametrize("ask_every_s", [10.0, 60.0])
+@pytest.mark.parametrize("poll_interval_s", [10.0, 60.0])
 @pytest.mark.parametrize("late_s", [4.0, 6.0, 10.0])
-def test_a_crowded_service_is_heard_however_late_it_answers(late_s, ask_every_s, monkeypatch):
+def test_a_crowded_service_is_heard_however_late_it_answers(late_s, poll_interval_s, monkeypatch):
     # What was given up and asked anew would never be heard; each call is one more for the service.
     monkeypatch.setattr(watching.random, "random", lambda: 0.999)
 
     def play(loop, agent):
         agent.late_s = late_s
 
-    opened, told = watched(play, ask_every_s)
+    opened, told = watched(play, poll_interval_s)
     assert told and told[0][0] <= late_s + MARGIN_S
     assert sum(1 for at in opened if at <= late_s) <= 1 + late_s / watching.SHARED_ANSWER_TIMEOUT_S
 
@@ -525,7 +525,7 @@
     async def scene():
         discovery, reader = watching.DiscoveryClient(("127.0.0.1", 1), 0, lambda found: None), ListReader()
         reader.feed(json.dumps({"generation": 1, "reset": True, "instances": many(100)}).encode()[:-9])
-        while discovery._take_slice(reader):
+        while discovery._consume_slice(reader):
             pass
         assert len(discovery._current_list.listed_ids) > 50 and not gc.is_tracked(
             discovery._current_list.listed_ids
@@ -545,7 +545,7 @@
         del told[:]
         reader = ListReader()
         reader.feed(json.dumps({**whole, "generation": 2}, indent=2).encode())
-        while discovery._take_slice(reader):
+        while discovery._consume_slice(reader):
             pass
         assert [found.event for found in told] == [io.BackendsChanged(io.ListKind.DELTA, 2)]
         take(discovery, {**whole, "generation": 3, "instances": [*many(300)[:-1], entry("s299", weight=2.0)]})
