--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -11,7 +11,7 @@
 
 import pytest
 from click.testing import CliRunner
-from test_config import told
+from test_config import raw_config
 from world import ROOT, Backend, World, request, run, settings
 
 from emulator import command
@@ -27,22 +27,22 @@
 
 
 def test_a_configuration_is_told_usable_if_it_is_with_the_variables_before_it(tmp_path):
-    path, found = checked(tmp_path, told())
+    path, found = checked(tmp_path, raw_config())
     assert found.exit_code == 0 and found.stdout.startswith(f"{path}: usable: 3 classes, 2 plans, 1 backends")
-    assert checked(tmp_path, told(listen=None))[1].exit_code == 2
-    assert checked(tmp_path, told(listen=None), NODE_LISTEN="127.0.0.1:1")[1].exit_code == 0
+    assert checked(tmp_path, raw_config(listen=None))[1].exit_code == 2
+    assert checked(tmp_path, raw_config(listen=None), NODE_LISTEN="127.0.0.1:1")[1].exit_code == 0
 
 
 @pytest.mark.parametrize(
     "what, field",
     [
-        (told(listen="7070"), "listen: "),
-        (told(limits={"sockets": 8}), "limits.sockets: "),
-        (told(known={"instances": 3}), "known.instances: "),
-        (told(peers=["127.0.0.1:1", "x"]), "peers[1]: "),
-        (told(settings=settings(plans=[{"name": "a", "depth": "6"}])), "settings.plans[0].depth: "),
+        (raw_config(listen="7070"), "listen: "),
+        (raw_config(limits={"sockets": 8}), "limits.sockets: "),
+        (raw_config(known={"instances": 3}), "known.instances: "),
+        (raw_config(peers=["127.0.0.1:1", "x"]), "peers[1]: "),
+        (raw_config(settings=settings(plans=[{"name": "a", "depth": "6"}])), "settings.plans[0].depth: "),
         (
-            told(settings=settings(classes=[{"name": "a", "promiseMs": []}])),
+            raw_config(settings=settings(classes=[{"name": "a", "promiseMs": []}])),
             "settings.classes[0].promiseMs: ",
         ),
     ],
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -10,7 +10,7 @@
 from elderhub.config import ConfigError, load_config
 
 
-def told(**changes):
+def raw_config(**changes):
     return {
         "name": "n0",
         "listen": "127.0.0.1:7070",
@@ -37,7 +37,7 @@
 
 
 def test_everything_is_read(tmp_path):
-    config = loaded(tmp_path, told())
+    config = loaded(tmp_path, raw_config())
     assert config.listen == ("127.0.0.1", 7070) and config.discovery == ("127.0.0.1", 8500)
     assert config.counter == ("127.0.0.1", 6400) and config.peers_all == ("127.3.255.1", 7946)
     assert config.seed == 0x8C1F30D27A5BE964 and config.sockets == 900 and config.keepalive_ms == 60000.0
@@ -45,46 +45,50 @@
 
 
 def test_variables_go_before_the_file(tmp_path):
-    config = loaded(tmp_path, told(), NODE_NAME="n7", NODE_LISTEN="127.0.0.4:1", NODE_DISCOVERY="127.0.0.4:2")
+    config = loaded(
+        tmp_path, raw_config(), NODE_NAME="n7", NODE_LISTEN="127.0.0.4:1", NODE_DISCOVERY="127.0.0.4:2"
+    )
     assert (config.name, config.listen[1], config.discovery[1]) == ("n7", 1, 2)
 
 
 def test_a_counter_or_peers_that_the_settings_do_not_allow_are_left_alone(tmp_path):
     changed = settings(familyInfo={"counter": False}, policyLimits={"peerMessages": False})
-    config = loaded(tmp_path, told(settings=changed))
+    config = loaded(tmp_path, raw_config(settings=changed))
     assert config.counter is None and config.peer_listen is None
 
 
 def plan(**changes):
-    return told(settings=settings(plans=[{"name": "free"}, {"name": "basic", **changes}]))
+    return raw_config(settings=settings(plans=[{"name": "free"}, {"name": "basic", **changes}]))
 
 
 BROKEN = {  # what an error names, and a configuration that has it wrong
     "Expecting property name": "{",
     "not an object": "[]",
-    "listen: '7070'": told(listen="7070"),
-    "listen: 'a:b'": told(listen="a:b"),
-    "discovery: None": told(discovery=None),
-    "peers: ": told(peers=7),
-    "counter: none is named": told(counter=None),
-    "peers[1]: 'x'": told(peers=["127.0.0.1:1", "x"]),
-    "settings: ": told(settings=[1]),
-    "settings.classes: 7": told(settings={"classes": 7}),
-    "settings.classes[0].name: None": told(settings={"classes": [{"worth": 1}]}),
-    "settings.classes[0].idempotency: ['safe']": told(
+    "listen: '7070'": raw_config(listen="7070"),
+    "listen: 'a:b'": raw_config(listen="a:b"),
+    "discovery: None": raw_config(discovery=None),
+    "peers: ": raw_config(peers=7),
+    "counter: none is named": raw_config(counter=None),
+    "peers[1]: 'x'": raw_config(peers=["127.0.0.1:1", "x"]),
+    "settings: ": raw_config(settings=[1]),
+    "settings.classes: 7": raw_config(settings={"classes": 7}),
+    "settings.classes[0].name: None": raw_config(settings={"classes": [{"worth": 1}]}),
+    "settings.classes[0].idempotency: ['safe']": raw_config(
         settings={"classes": [{"name": "a", "idempotency": ["safe"]}]}
     ),
     "settings.plans[1].unitsPerS: 'two' is not a number": plan(unitsPerS="two"),
     "settings.plans[1].concurrency: inf is not a whole number": plan(concurrency=float("inf")),
-    "settings.familyInfo.countWaitMs: '5'": told(settings=settings(familyInfo={"countWaitMs": "5"})),
-    "settings.policyLimits.keepaliveMs: ": told(settings=settings(policyLimits={"keepaliveMs": "long"})),
-    "settings.report.columns: 5": told(settings=settings(report={"columns": 5})),
-    "limits: 8": told(limits=8),
-    "limits.sockets: 8 are too few": told(limits={"sockets": 8}),
-    "seed: ": told(seed="xyz"),
-    "known: [1]": told(known=[1]),
-    "known.instances: ": told(known={"instances": 3}),
-    "known.generation: ": told(known={"generation": "new"}),
+    "settings.familyInfo.countWaitMs: '5'": raw_config(settings=settings(familyInfo={"countWaitMs": "5"})),
+    "settings.policyLimits.keepaliveMs: ": raw_config(
+        settings=settings(policyLimits={"keepaliveMs": "long"})
+    ),
+    "settings.report.columns: 5": raw_config(settings=settings(report={"columns": 5})),
+    "limits: 8": raw_config(limits=8),
+    "limits.sockets: 8 are too few": raw_config(limits={"sockets": 8}),
+    "seed: ": raw_config(seed="xyz"),
+    "known: [1]": raw_config(known=[1]),
+    "known.instances: ": raw_config(known={"instances": 3}),
+    "known.generation: ": raw_config(known={"generation": "new"}),
 }
 
 
@@ -97,7 +101,9 @@
 
 
 @pytest.mark.parametrize(
-    "what", [None, "{", told(listen="192.0.2.1:7070")], ids=["none", "broken", "an address that is not here"]
+    "what",
+    [None, "{", raw_config(listen="192.0.2.1:7070")],
+    ids=["none", "broken", "an address that is not here"],
 )
 def test_a_broken_start_ends_with_one_line_and_a_code(tmp_path, what):
     path = tmp_path / "config.json"
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -5,8 +5,7 @@
 import json
 
 import pytest
-from test_config import loaded
-from test_config import told as configured
+from test_config import loaded, raw_config
 from world import Backend, Discovery, World, reply_ok, request, run, wait_until
 
 from cobaltline import interface as io
@@ -556,7 +555,7 @@
 
 def test_a_list_that_tells_nothing_does_not_reach_the_module(tmp_path):
     async def scene():
-        one = host.Host(loaded(tmp_path, configured(known={"generation": 1, "instances": many(3)})))
+        one = host.Host(loaded(tmp_path, raw_config(known={"generation": 1, "instances": many(3)})))
         events = []
         one._module.handle = lambda now, event: events.append(event) or []
         take(one.discovery, {"generation": 2, "reset": True, "instances": many(3)})
@@ -572,7 +571,7 @@
 def test_what_a_long_list_brings_is_taken_out_of_the_sight_of_the_collector_and_a_change_is_not(tmp_path):
     # The collector's looks at what 26,000 backends leave behind were steps of 30 ms.
     async def scene():
-        one = host.Host(loaded(tmp_path, configured()))
+        one = host.Host(loaded(tmp_path, raw_config()))
         frozen = gc.get_freeze_count()
         take(one.discovery, {"generation": 2, "instances": many(host.GC_FREEZE_ENTRIES - 1)})
         assert gc.get_freeze_count() == frozen
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from test_config import loaded, told
+from test_config import loaded, raw_config
 from world import (
     HOST,
     Backend,
@@ -69,7 +69,7 @@
     monkeypatch.setattr(host, "Gateway", Recorder)
 
     async def scene():
-        config = loaded(tmp_path, told(settings=settings(familyInfo={"counter": False})))
+        config = loaded(tmp_path, raw_config(settings=settings(familyInfo={"counter": False})))
         one = host.Host(config)  # with no counter, a call's result is there at once
         carried = []
         count = one._action_handlers[io.CounterAdd]
@@ -139,7 +139,7 @@
         backend, counter = await Backend().start(), await Counter().start()
         agent = Discovery()
         known = {"generation": 1, "instances": [agent.entry("b1", backend.port)]}
-        config = loaded(tmp_path, told(known=known, counter=f"127.0.0.1:{counter.port}"))
+        config = loaded(tmp_path, raw_config(known=known, counter=f"127.0.0.1:{counter.port}"))
         one, listen = host.Host(config), free_port()
         one.counter.start()
         one.apply_listing(config.known)
@@ -205,7 +205,7 @@
         limits = {"policyLimits": {"cancel": self._cancel, "connectTimeoutMs": 30000.0}}
         config = loaded(
             self._path,
-            told(known=known, counter=f"127.0.0.1:{self.counter.port}", settings=settings(**limits)),
+            raw_config(known=known, counter=f"127.0.0.1:{self.counter.port}", settings=settings(**limits)),
         )
         self.host, self.listen = host.Host(config), free_port()
         self.gate = self.host.backends.loop = Gate(asyncio.get_running_loop())
