--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -1,4 +1,4 @@
-"""The side of the backends: connections, what an attempt's end is taken for, and what is never done."""
+"""Backend connections: pools and limits, the outcome of each kind of response, and safe retries."""
 
 import asyncio
 import socket
@@ -28,9 +28,9 @@
 from elderhub.discovery import Listing
 from elderhub.wire import parse_load_report
 
-TURNED_AWAY = [reply_not_processed(), reply_status(504, b"X-Not-Processed: 1\r\n")]
+NOT_PROCESSED_REPLIES = [reply_not_processed(), reply_status(504, b"X-Not-Processed: 1\r\n")]
 NO_LENGTH = b"HTTP/1.1 200 OK\r\n\r\n"
-MAY_HAVE_RUN = {
+MAY_HAVE_RUN_REPLIES = {
     "500": reply_status(500),
     "503 that may have run": reply_status(503),
     "504 that may have run": reply_status(504),
@@ -44,60 +44,60 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbeds\r\n"
     ),
 }
-NO_REST = "backends.REUSE_DELAY_S = 0.0"
+NO_REUSE_DELAY = "backends.REUSE_DELAY_S = 0.0"
 LENGTH = b"HTTP/1.1 200 OK\r\nContent-Length: %b\r\n\r\nbeds"
 
 
-def says(data, again=b"", times=0):
-    """Answers with these bytes, and keeps the connection open."""
+def reply_raw(data, suffix=b"", repeat_count=0):
+    """Replies with raw bytes and keeps the connection open; `suffix` follows `repeat_count` times."""
 
-    async def reply(seen, writer):
+    async def reply(received, writer):
         writer.write(data)
-        for _ in range(times):
-            writer.write(again)
+        for _ in range(repeat_count):
+            writer.write(suffix)
             await writer.drain()
 
     return reply
 
 
-SPOILT = {
-    "noise": says(b"\x00\xffnoise\r\n\r\n"),
-    "no number for a status": says(b"HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nbeds"),
-    "a line that is no header": says(b"HTTP/1.1 200 OK\r\nbeds\r\nContent-Length: 4\r\n\r\nbeds"),
-    "a head without end": says(b"HTTP/1.1 200 OK\r\n", b"X-Pad: %b\r\n" % (b"p" * 1000), 1000),
-    "a line without end": says(b"HTTP/1.1 200 OK\r\nX-Pad: ", b"p" * 1000, 1000),
-    "announcements without end": says(b"", b"HTTP/1.1 102 Processing\r\n\r\n", 10000),
-    "another protocol": says(b"HTTP/1.1 101 Switching\r\nUpgrade: h2c\r\nConnection: upgrade\r\n\r\n"),
-    "too short": says(LENGTH % b"5"),
-    "3 GB": says(LENGTH % b"3000000000"),
-    "more than can be counted": says(LENGTH % (b"9" * 40)),
-    "below nothing": says(LENGTH % b"-4"),
-    "no number": says(LENGTH % b"four"),
-    "two lengths": says(LENGTH % b"4\r\nContent-Length: 3"),
-    "two framings": says(LENGTH % b"4\r\nTransfer-Encoding: chunked"),
-    "no length": says(b"HTTP/1.1 200 OK\r\n\r\nbeds"),
+MALFORMED_REPLIES = {
+    "noise": reply_raw(b"\x00\xffnoise\r\n\r\n"),
+    "no number for a status": reply_raw(b"HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nbeds"),
+    "a line that is no header": reply_raw(b"HTTP/1.1 200 OK\r\nbeds\r\nContent-Length: 4\r\n\r\nbeds"),
+    "a head without end": reply_raw(b"HTTP/1.1 200 OK\r\n", b"X-Pad: %b\r\n" % (b"p" * 1000), 1000),
+    "a line without end": reply_raw(b"HTTP/1.1 200 OK\r\nX-Pad: ", b"p" * 1000, 1000),
+    "announcements without end": reply_raw(b"", b"HTTP/1.1 102 Processing\r\n\r\n", 10000),
+    "another protocol": reply_raw(b"HTTP/1.1 101 Switching\r\nUpgrade: h2c\r\nConnection: upgrade\r\n\r\n"),
+    "too short": reply_raw(LENGTH % b"5"),
+    "3 GB": reply_raw(LENGTH % b"3000000000"),
+    "more than can be counted": reply_raw(LENGTH % (b"9" * 40)),
+    "below nothing": reply_raw(LENGTH % b"-4"),
+    "no number": reply_raw(LENGTH % b"four"),
+    "two lengths": reply_raw(LENGTH % b"4\r\nContent-Length: 3"),
+    "two framings": reply_raw(LENGTH % b"4\r\nTransfer-Encoding: chunked"),
+    "no length": reply_raw(b"HTTP/1.1 200 OK\r\n\r\nbeds"),
     "no length and too large": reply_until_close(b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * 70000),
     "another coding, and an end": reply_until_close(
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nbeds"
     ),
-    "a chunk that is none": says(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nbeds\r\n"),
-    "chunks without end": says(
+    "a chunk that is none": reply_raw(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nbeds\r\n"),
+    "chunks without end": reply_raw(
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", b"400\r\n%b\r\n" % (b"x" * 1024), 1000
     ),
     "too large": reply_ok(b"x" * 70000),
 }
 
 
-async def serves(world, **fields):
+async def call_status(world, **fields):
     return (await world.call(request(**fields))).status
 
 
-def test_a_connection_is_used_again():
-    # The parser knows only inside its callback whether a connection lasts; asked later it says no.
+def test_a_connection_is_reused():
+    # The parser tells only inside its callback whether a connection is kept alive.
     async def scene():
         backend = Backend()
-        async with World({"b1": backend}, patch=NO_REST) as w:
-            client = await w.connect()
+        async with World({"b1": backend}, patch=NO_REUSE_DELAY) as world:
+            client = await world.connect()
             for i in range(3):
                 client.send(request(name=f"r{i}"))
                 assert (await client.read_response()).status == 200
@@ -109,32 +109,32 @@
     run(scene)
 
 
-@pytest.mark.parametrize("reply", TURNED_AWAY, ids=["503", "504"])
-def test_what_was_turned_away_unseen_is_tried_elsewhere_even_if_unsafe(reply):
+@pytest.mark.parametrize("reply", NOT_PROCESSED_REPLIES, ids=["503", "504"])
+def test_an_unprocessed_attempt_is_retried_elsewhere_even_if_unsafe(reply):
     async def scene():
         first = Backend(reply)
         second = Backend(reply)
-        async with World({"b1": first, "b2": second}) as w:
-            assert await serves(w, kind="pay") == 503  # both turned it away: a new try does no harm
+        async with World({"b1": first, "b2": second}) as world:
+            assert await call_status(world, kind="pay") == 503  # refused, since neither processed it
             assert len(first.requests) == len(second.requests) == 1
 
     run(scene)
 
 
-@pytest.mark.parametrize("reply", MAY_HAVE_RUN.values(), ids=MAY_HAVE_RUN)
-def test_what_may_have_run_is_not_sent_again_and_not_refused(reply):
+@pytest.mark.parametrize("reply", MAY_HAVE_RUN_REPLIES.values(), ids=MAY_HAVE_RUN_REPLIES)
+def test_an_unsafe_request_that_may_have_run_is_neither_retried_nor_refused(reply):
     async def scene():
         fleet = {"b1": Backend(reply), "b2": Backend(reply)}
-        async with World(fleet) as w:
-            assert await serves(w, kind="pay") == 502
+        async with World(fleet) as world:
+            assert await call_status(world, kind="pay") == 502
             assert sum(len(b.requests) for b in fleet.values()) == 1
 
     run(scene)
 
 
-@pytest.mark.parametrize("reply", SPOILT.values(), ids=SPOILT)
-def test_only_a_whole_well_framed_answer_is_served(reply):
-    # What is spoilt may have run, its connection is of no further use, and any backend's answer may be.
+@pytest.mark.parametrize("reply", MALFORMED_REPLIES.values(), ids=MALFORMED_REPLIES)
+def test_only_a_complete_well_framed_response_is_served(reply):
+    # After a malformed response the connection can't be reused.
     async def scene():
         backend = await Backend(reply).start()
         sender = Sender(backend.port)
@@ -147,10 +147,10 @@
     run(scene)
 
 
-@pytest.mark.parametrize("code", [400, 404, 206])
-def test_what_faults_the_request_says_nothing_against_the_backend_or_its_connection(code):
+@pytest.mark.parametrize("status", [400, 404, 206])
+def test_a_status_that_faults_the_request_keeps_the_connection(status):
     async def scene():
-        backend = await Backend(reply_status(code)).start()
+        backend = await Backend(reply_status(status)).start()
         sender = Sender(backend.port)
         sender.send(0)
         await wait_until(lambda: sender.ended)
@@ -161,20 +161,20 @@
     run(scene)
 
 
-def test_a_spoilt_answer_is_no_answer_and_the_next_one_is_served():
+def test_after_a_malformed_response_the_next_request_is_served():
     async def scene():
-        backend = Backend(SPOILT["noise"])
-        async with World({"b1": backend}) as w:
-            assert await serves(w, kind="pay") == 502
+        backend = Backend(MALFORMED_REPLIES["noise"])
+        async with World({"b1": backend}) as world:
+            assert await call_status(world, kind="pay") == 502
             backend.reply = reply_ok()
-            assert await serves(w, kind="pay", name="r2") == 200
+            assert await call_status(world, kind="pay", name="r2") == 200
             assert len(backend.requests) == backend.connections == 2
 
     run(scene)
 
 
-def test_a_connection_rests_before_it_is_used_again(monkeypatch):
-    # What came behind an answer would be taken for the answer to the next request.
+def test_a_connection_is_not_reused_before_its_delay(monkeypatch):
+    # Surplus data after a response would be taken for the response to the next request.
     monkeypatch.setattr(backends, "REUSE_DELAY_S", 1000.0)
 
     async def scene():
@@ -193,46 +193,46 @@
     run(scene)
 
 
-def test_reports_that_cannot_be_read_are_passed_over():
+def test_malformed_load_reports_are_skipped():
     text = b"%%%,=,a=nan,b=inf,c=-1,d=1_0,e=1e99,f={,qps=3.5 , queue=0"
     assert parse_load_report(text) == {"qps": 3.5, "queue": 0.0}
 
 
-def test_a_backend_that_refuses_connections_was_never_reached():
+def test_a_request_is_refused_if_backends_refuse_connections():
     async def scene():
         fleet = {"b1": Backend(), "b2": Backend()}
-        async with World(fleet) as w:
+        async with World(fleet) as world:
             for backend in fleet.values():
                 backend.server.close()
-            assert await serves(w, kind="pay") == 503
+            assert await call_status(world, kind="pay") == 503
 
     run(scene)
 
 
-def test_a_connection_that_never_comes_up_was_never_reached():
+def test_a_request_is_refused_if_no_connection_opens():
     async def scene():
         with unreachable_port() as port:
             changes = {"policyLimits": {"connectTimeoutMs": 200.0}}
-            async with World(extra_ports={"b1": port}, settings_changes=changes) as w:
-                assert await serves(w, kind="pay") == 503
+            async with World(extra_ports={"b1": port}, settings_changes=changes) as world:
+                assert await call_status(world, kind="pay") == 503
 
     run(scene)
 
 
-def test_a_connection_that_died_while_idle_is_not_used():
-    # A request written to it would end as one that may have run.
+def test_a_connection_lost_while_idle_is_not_reused():
+    # A request written to it would count as one that may have run.
     async def scene():
         backend = Backend()
-        async with World({"b1": backend}) as w:
+        async with World({"b1": backend}) as world:
             for _ in range(3):
-                assert await serves(w, kind="pay") == 200
+                assert await call_status(world, kind="pay") == 200
                 backend.writers[-1].transport.abort()
             assert len(backend.requests) == 3
 
     run(scene)
 
 
-def test_an_end_that_the_loop_has_not_seen_yet_is_noticed_before_a_connection_is_used():
+def test_a_close_not_yet_seen_by_the_loop_is_noticed_before_reuse():
     async def scene():
         loop = asyncio.get_running_loop()
         with socket.socket() as listening:
@@ -246,31 +246,31 @@
             await loop.sock_sendall(accepted, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             await wait_until(lambda: first.is_done)
             accepted.close()
-            second = sender.send(0)  # nothing was read in between
-            assert not second.is_done and second.connection is None  # it waits for a connection of its own
+            second = sender.send(0)  # before the loop reads the close
+            assert not second.is_done and second.connection is None  # waits for a new connection
             second.abandon(io.Outcome.CANCELLED)
             assert sender.outcomes() == [io.Outcome.OK, io.Outcome.CANCELLED]
 
     run(scene)
 
 
-def test_a_connection_with_an_answer_nobody_asked_for_is_not_used():
+def test_a_connection_with_an_unsolicited_response_is_not_reused():
     async def scene():
-        async def twice(seen, writer):
-            await reply_ok(b"mine")(seen, writer)
-            await reply_ok(b"not yours")(seen, writer)
+        async def twice(received, writer):
+            await reply_ok(b"mine")(received, writer)
+            await reply_ok(b"not yours")(received, writer)
 
         backend = Backend(twice)
-        async with World({"b1": backend}) as w:
+        async with World({"b1": backend}) as world:
             for _ in range(3):
-                assert (await w.call(request())).body == b"mine"
+                assert (await world.call(request())).body == b"mine"
             assert backend.connections == 3
 
     run(scene)
 
 
 @pytest.mark.parametrize(
-    "head,lasts",
+    "response,is_kept",
     [
         (b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: close\r\n\r\nbeds", False),
         (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbeds", True),
@@ -279,27 +279,27 @@
     ],
     ids=["close", "100", "chunked", "more"],
 )
-def test_answers_of_every_framing_are_read_whole(head, lasts):
+def test_responses_of_every_framing_are_read_completely(response, is_kept):
     async def scene():
-        async def in_pieces(seen, writer):
-            for byte in head:
+        async def in_pieces(received, writer):
+            for byte in response:
                 writer.write(bytes([byte]))
                 await writer.drain()
                 await asyncio.sleep(0)
 
         backend = Backend(in_pieces)
-        async with World({"b1": backend}, patch=NO_REST) as w:
+        async with World({"b1": backend}, patch=NO_REUSE_DELAY) as world:
             for _ in range(2):
-                answer = await w.call(request())
+                answer = await world.call(request())
                 assert (answer.status, answer.body) == (200, b"beds")
-            assert backend.connections == (1 if lasts else 2)
+            assert backend.connections == (1 if is_kept else 2)
 
     run(scene)
 
 
 @pytest.mark.parametrize("kind", ["read", "pay"])
-def test_an_answer_with_no_length_that_ends_in_order_is_served(kind):
-    # The standing page: of the answers with no length that come whole, half at least are forwarded.
+def test_a_response_without_length_that_ends_in_order_is_served(kind):
+    # The protocol requires that at least half of the complete responses without a length are forwarded.
     async def scene():
         replies = (
             reply_until_close(NO_LENGTH, b"be", b"ds"),
@@ -307,34 +307,34 @@
             reply_until_close(NO_LENGTH),
         )
         backend = Backend()
-        async with World({"b1": backend}) as w:
+        async with World({"b1": backend}) as world:
             for reply, body in zip(replies, (b"beds", b"beds", b""), strict=True):
                 backend.reply = reply
-                answer = await w.call(request(kind))
+                answer = await world.call(request(kind))
                 assert (answer.status, answer.body) == (200, body)
             assert len(backend.requests) == backend.connections == len(replies)
 
     run(scene)
 
 
-def test_idle_connections_are_retired_before_the_backend_would_close_them():
+def test_idle_connections_are_closed_before_the_backend_would_close_them():
     async def scene():
         backend = Backend()
         changes = {"policyLimits": {"keepaliveMs": 400.0}}
         async with World(
             {"b1": backend}, settings_changes=changes, patch="backends.SWEEP_INTERVAL_S = 0.05"
-        ) as w:
-            assert await serves(w) == 200
+        ) as world:
+            assert await call_status(world) == 200
             # closed by the gateway: this backend never does
             await wait_until(lambda: backend.closed_connections == 1)
-            assert await serves(w) == 200
+            assert await call_status(world) == 200
             assert backend.connections == 2
 
     run(scene)
 
 
-def test_a_connection_idle_for_too_long_is_not_used_though_no_sweep_has_come_by():
-    # The backend closes it about now: a request written to it could be reset, and may then have run.
+def test_a_connection_idle_for_too_long_is_not_reused_even_before_a_sweep():
+    # The backend is about to close it: a request written to it could be reset and count as possibly run.
     async def scene():
         backend = await Backend().start()
         sender = Sender(backend.port)
@@ -351,12 +351,12 @@
     run(scene)
 
 
-def test_a_time_out_closes_its_connection():
+def test_a_timeout_closes_the_connection():
     async def scene():
         backend = Backend(HeldReply())
-        async with World({"b1": backend}) as w:
+        async with World({"b1": backend}) as world:
             began = time.monotonic()
-            assert await serves(w, kind="pay", X_Timeout="0.3") == 502
+            assert await call_status(world, kind="pay", X_Timeout="0.3") == 502
             assert time.monotonic() - began > 0.2
             await wait_until(lambda: backend.readers[0].at_eof() or backend.readers[0].exception())
 
@@ -364,14 +364,14 @@
 
 
 class Sender:
-    """The `Backends` of the program in this process, and how its exchanges ended."""
+    """A `Backends` in this process, and the exchanges that have ended."""
 
-    def __init__(self, *ports, in_all=100):
+    def __init__(self, *ports, max_connections=100):
         settings = io.Settings(connect_timeout_ms=20000.0)
-        self.backends, self.ended = backends.Backends(settings, 60000.0, in_all), []
-        self.list(*ports)
+        self.backends, self.ended = backends.Backends(settings, 60000.0, max_connections), []
+        self.update_list(*ports)
 
-    def list(self, *ports):
+    def update_list(self, *ports):
         entries = tuple(io.Backend(f"b{i}") for i in range(len(ports)))
         where = {f"b{i}": ("127.0.0.1", port) for i, port in enumerate(ports)}
         for pool in self.backends.apply_listing(
@@ -381,8 +381,8 @@
 
     def send(self, number, body=b""):
         head = b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n" % len(body)
-        until_s = asyncio.get_running_loop().time() + 20.0
-        exchange = backends.Exchange(f"b{number}", head, body, until_s, self.ended.append)
+        deadline_s = asyncio.get_running_loop().time() + 20.0
+        exchange = backends.Exchange(f"b{number}", head, body, deadline_s, self.ended.append)
         self.backends.send(exchange)
         return exchange
 
@@ -390,7 +390,7 @@
         return [exchange.outcome for exchange in self.ended]
 
 
-def test_a_connection_that_opens_after_its_request_is_over_sends_nothing_and_serves_the_next():
+def test_a_connection_that_opens_after_its_request_ended_serves_the_next_one():
     async def scene():
         backend = await Backend().start()
         sender = Sender(backend.port)
@@ -407,12 +407,12 @@
     run(scene)
 
 
-def test_a_connection_that_opens_to_a_backend_that_drains_sends_nothing():
+def test_a_connection_that_opens_to_a_draining_backend_sends_nothing():
     async def scene():
         backend = await Backend().start()
         sender = Sender(backend.port)
         sender.send(0)
-        sender.list()
+        sender.update_list()
         assert sender.outcomes() == [io.Outcome.CONNECT_FAILED]
         await wait_until(lambda: backend.closed_connections == 1)
         assert not backend.requests
@@ -421,8 +421,8 @@
     run(scene)
 
 
-@pytest.mark.parametrize("whole,outcome", [(False, io.Outcome.CONNECT_FAILED), (True, io.Outcome.RESET)])
-def test_a_break_counts_as_never_reached_until_the_last_byte_has_left(whole, outcome):
+@pytest.mark.parametrize("is_sent,outcome", [(False, io.Outcome.CONNECT_FAILED), (True, io.Outcome.RESET)])
+def test_a_reset_counts_as_a_connect_failure_until_the_last_byte_is_sent(is_sent, outcome):
     async def scene():
         loop = asyncio.get_running_loop()
         with socket.socket() as listening:
@@ -431,10 +431,10 @@
             listening.listen()
             listening.setblocking(False)
             sender = Sender(listening.getsockname()[1])
-            exchange = sender.send(0, b"x" * (10 if whole else 16_000_000))
+            exchange = sender.send(0, b"x" * (10 if is_sent else 16_000_000))
             accepted, _ = await loop.sock_accept(listening)
             await wait_until(lambda: exchange.connection)
-            assert exchange.is_sent is whole
+            assert exchange.is_sent is is_sent
             accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             accepted.close()
             await wait_until(lambda: exchange.is_done)
@@ -443,8 +443,8 @@
     run(scene)
 
 
-@pytest.mark.parametrize("whole", [False, True])
-def test_what_is_withdrawn_while_it_is_written_never_comes_whole_and_what_was_sent_runs_on(whole):
+@pytest.mark.parametrize("is_sent", [False, True])
+def test_a_withdrawal_stops_a_partly_sent_request_but_not_a_sent_one(is_sent):
     async def scene():
         loop = asyncio.get_running_loop()
         with socket.socket() as listening:
@@ -453,21 +453,21 @@
             listening.listen()
             listening.setblocking(False)
             sender = Sender(listening.getsockname()[1])
-            exchange = sender.send(0, b"x" * (10 if whole else 16_000_000))
+            exchange = sender.send(0, b"x" * (10 if is_sent else 16_000_000))
             accepted, _ = await loop.sock_accept(listening)
             with accepted:
                 await wait_until(lambda: exchange.connection)
                 exchange.withdraw_if_unsent()
-                if whole:
+                if is_sent:
                     await loop.sock_sendall(accepted, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
                 await wait_until(lambda: exchange.is_done)
-            assert sender.outcomes() == [io.Outcome.OK if whole else io.Outcome.NOT_SENT]
+            assert sender.outcomes() == [io.Outcome.OK if is_sent else io.Outcome.NOT_SENT]
 
     run(scene)
 
 
-@pytest.mark.parametrize("whole", [False, True])
-def test_what_was_not_sent_whole_in_its_time_was_never_reached(whole):
+@pytest.mark.parametrize("is_sent", [False, True])
+def test_a_timeout_counts_as_a_connect_failure_until_the_last_byte_is_sent(is_sent):
     async def scene():
         loop = asyncio.get_running_loop()
         with socket.socket() as listening:
@@ -476,17 +476,17 @@
             listening.listen()
             listening.setblocking(False)
             sender = Sender(listening.getsockname()[1])
-            exchange = sender.send(0, b"x" * (10 if whole else 16_000_000))
+            exchange = sender.send(0, b"x" * (10 if is_sent else 16_000_000))
             accepted, _ = await loop.sock_accept(listening)
             with accepted:
                 await wait_until(lambda: exchange.connection)
                 exchange.on_timeout()
-            assert sender.outcomes() == [io.Outcome.TIMEOUT if whole else io.Outcome.CONNECT_FAILED]
+            assert sender.outcomes() == [io.Outcome.TIMEOUT if is_sent else io.Outcome.CONNECT_FAILED]
 
     run(scene)
 
 
-def test_a_request_larger_than_the_socket_takes_at_once_is_sent_whole():
+def test_a_request_larger_than_the_socket_buffer_is_sent_completely():
     async def scene():
         backend = await Backend().start()
         sender = Sender(backend.port)
@@ -502,7 +502,7 @@
     "reply,outcome",
     [(reply_ok(b"qps=3,queue=x,latency_ms=4.5"), io.Outcome.OK), (reply_status(503), io.Outcome.ERROR)],
 )
-def test_a_probe_tells_the_report_of_a_backend(reply, outcome):
+def test_a_probe_returns_the_load_report_of_a_backend(reply, outcome):
     async def scene():
         backend, ended = await Backend(reply).start(), []
         sender = Sender(backend.port)
@@ -519,43 +519,43 @@
     run(scene)
 
 
-@pytest.mark.parametrize("in_all,served", [(100, 4), (3, 3)], ids=["to each", "in all"])
-def test_connections_are_bounded(monkeypatch, in_all, served):
+@pytest.mark.parametrize("max_connections,served", [(100, 4), (3, 3)], ids=["to each", "in all"])
+def test_connections_are_bounded(monkeypatch, max_connections, served):
     async def scene():
         monkeypatch.setattr(backends, "MAX_CONNECTIONS_PER_BACKEND", 2)
-        hold = HeldReply()
-        listed = [await Backend(hold).start() for _ in range(2)]
-        sender = Sender(*(backend.port for backend in listed), in_all=in_all)
+        held_reply = HeldReply()
+        fleet = [await Backend(held_reply).start() for _ in range(2)]
+        sender = Sender(*(backend.port for backend in fleet), max_connections=max_connections)
         for i in range(6):
             sender.send(i % 2)
         assert sender.outcomes() == [io.Outcome.CONNECT_FAILED] * (6 - served)
-        hold.release.set()
+        held_reply.release.set()
         await wait_until(lambda: len(sender.ended) == 6)
         assert sender.outcomes()[6 - served :] == [io.Outcome.OK] * served
-        for backend in listed:
+        for backend in fleet:
             backend.server.close()
 
     run(scene)
 
 
-def test_an_idle_connection_elsewhere_gives_way_to_one_that_is_needed():
+def test_an_idle_connection_is_closed_for_one_to_another_backend():
     async def scene():
-        listed = [await Backend().start() for _ in range(2)]
-        sender = Sender(*(backend.port for backend in listed), in_all=1)
+        fleet = [await Backend().start() for _ in range(2)]
+        sender = Sender(*(backend.port for backend in fleet), max_connections=1)
         for number in (0, 1, 0):
             exchange = sender.send(number)
             await wait_until(lambda: exchange.is_done)  # noqa: B023
         assert sender.outcomes() == [io.Outcome.OK] * 3
-        for backend in listed:
+        for backend in fleet:
             backend.server.close()
 
     run(scene)
 
 
-def test_a_look_for_room_costs_the_same_however_many_backends_have_connections():
+def test_the_cost_of_making_room_does_not_grow_with_the_number_of_backends():
     async def scene():
         backend = await Backend().start()
-        sender, calls = Sender(*[backend.port] * 60, in_all=60), []
+        sender, calls = Sender(*[backend.port] * 60, max_connections=60), []
         for count in (10, 60):
             exchanges = [sender.send(i) for i in range(count)]
             await wait_until(lambda: all(exchange.is_done for exchange in exchanges))  # noqa: B023
@@ -565,8 +565,8 @@
             room = sender.backends.make_room()
             sys.setprofile(None)
             assert room and len(sender.backends.open_or_opening) == min(count, 59)
-        assert len(calls[1]) <= len(calls[0]) + 4  # the one idle for longest gives way
-        sender.list()
+        assert len(calls[1]) <= len(calls[0]) + 4  # the connection idle for longest is closed
+        sender.update_list()
         await wait_until(lambda: backend.closed_connections == backend.connections)
         await wait_until(lambda: not sender.backends.open_or_opening and not sender.backends.idle_by_age)
         backend.server.close()
@@ -574,14 +574,14 @@
     run(scene)
 
 
-@pytest.mark.parametrize("up", [False, True], ids=["comes up", "was written to"])
-def test_a_connection_for_a_request_that_is_over_takes_up_no_room(up):
+@pytest.mark.parametrize("opens", [False, True], ids=["still opening", "was written to"])
+def test_a_connection_for_an_ended_request_does_not_count_against_the_limit(opens):
     async def scene():
         backend, silent = await Backend().start(), await Backend(HeldReply()).start()
         with unreachable_port() as nowhere:
-            sender = Sender(silent.port if up else nowhere, backend.port, in_all=1)
+            sender = Sender(silent.port if opens else nowhere, backend.port, max_connections=1)
             first = sender.send(0)
-            if up:
+            if opens:
                 await wait_until(lambda: first.is_sent)
             first.abandon(io.Outcome.CANCELLED)
             second = sender.send(1)
@@ -593,25 +593,26 @@
     run(scene)
 
 
-def test_a_backend_that_drains_finishes_what_it_has_and_gets_nothing_new():
+def test_a_draining_backend_finishes_its_requests_and_gets_no_new_ones():
     async def scene():
-        hold = HeldReply(reply_ok(b"old"))
-        first, second = Backend(hold), Backend(reply_ok(b"new"))
-        async with World({"b1": first}) as w:
+        held_reply = HeldReply(reply_ok(b"old"))
+        first, second = Backend(held_reply), Backend(reply_ok(b"new"))
+        async with World({"b1": first}) as world:
             await second.start()
-            running = asyncio.create_task(w.call(request("pay")))
-            await hold.reached.wait()
-            w.discovery.publish(
-                w.discovery.entry("b1", first.port, "Terminating"), w.discovery.entry("b2", second.port)
+            running = asyncio.create_task(world.call(request("pay")))
+            await held_reply.reached.wait()
+            world.discovery.publish(
+                world.discovery.entry("b1", first.port, "Terminating"),
+                world.discovery.entry("b2", second.port),
             )
             async with asyncio.timeout(30):
-                while (await w.call(request(X_Timeout="1.0"))).body != b"new":
+                while (await world.call(request(X_Timeout="1.0"))).body != b"new":
                     pass
             reached = len(first.requests)
             for _ in range(5):
-                assert (await w.call(request())).body == b"new"
+                assert (await world.call(request())).body == b"new"
             assert len(first.requests) == reached
-            hold.release.set()
+            held_reply.release.set()
             assert (await running).body == b"old"
             second.server.close()
 
@@ -622,20 +623,20 @@
 def test_a_backend_that_moved_or_restarted_gets_new_connections(moved):
     async def scene():
         old, new = Backend(reply_ok(b"old")), Backend(reply_ok(b"new"))
-        async with World({"b1": old}) as w:
+        async with World({"b1": old}) as world:
             await new.start()
-            assert (await w.call(request())).body == b"old"
+            assert (await world.call(request())).body == b"old"
             port, started = (new.port, 0) if moved else (old.port, int(time.time() * 1000) - 60000)
-            w.discovery.publish(w.discovery.entry("b1", port, started=started))
+            world.discovery.publish(world.discovery.entry("b1", port, started=started))
             await wait_until(lambda: old.closed_connections == 1)
-            assert (await w.call(request())).body == (b"new" if moved else b"old")
+            assert (await world.call(request())).body == (b"new" if moved else b"old")
             new.server.close()
 
     run(scene)
 
 
-def test_only_backends_with_connections_are_kept_swept_and_counted():
-    # With 26,000 in the list, a sweep each second and a look for room for each connection cost nothing.
+def test_only_backends_with_connections_have_pools():
+    # The cost of sweeps and of the search for room must not grow with the length of the list.
     async def scene():
         fleet = [await Backend().start() for _ in range(3)]
         sender = Sender(*(fleet[i % 3].port for i in range(500)))
@@ -657,7 +658,7 @@
     run(scene)
 
 
-def test_a_backend_that_moved_or_is_another_process_gets_a_new_pool_and_one_that_did_not_keeps_its_own():
+def test_a_pool_is_replaced_only_if_its_backend_moved_or_restarted():
     async def scene():
         first, second = [await Backend().start() for _ in range(2)]
         sender = Sender(first.port)
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""What a request must look like."""
+"""The validation of requests."""
 
 import pytest
 from world import CUSTOMER
@@ -37,30 +37,30 @@
     return out
 
 
-def test_a_deadline_counts_from_when_the_request_came_not_from_its_turn():
+def test_a_deadline_counts_from_the_arrival_of_the_request():
     assert checks.parse_request(message(x_retried=b"1"), SETTINGS) == io.RequestArrived(
         "", CUSTOMER, "p", "read", 5480.0, 2.0, 1, 3, is_retry=True
     )
 
 
 @pytest.mark.parametrize(
-    "good",
+    "changes",
     [
         dict(target=f"/{CUSTOMER.upper()}".encode()),
         dict(x_timeout=b"7"),
         dict(x_timeout=b"0.001"),
-        dict(x_timeout=b"0.48000000000000004"),  # as programs print what they have left
+        dict(x_timeout=b"0.48000000000000004"),  # a float as programs print it
         dict(quota_info=b"units=1.30000000000000004,spread=3,first=1"),
         dict(quota_info=b"first=3, spread=3, units=0.5"),
         dict(quota_info=b"units=1,spread=4,first=2"),
         dict(method=b"POST", x_priority_class=b"hold", idempotency_key=b"k", body=b"two nights"),
     ],
 )
-def test_what_usual_clients_send_is_taken(good):
-    assert checks.parse_request(message(**good), SETTINGS).customer == CUSTOMER
+def test_valid_requests_are_accepted(changes):
+    assert checks.parse_request(message(**changes), SETTINGS).customer == CUSTOMER
 
 
-BAD = [
+INVALID = [
     (dict(method=b"HEAD"), 405),
     (dict(method=b"POST"), 405),
     (dict(x_priority_class=b"hold", idempotency_key=b"k"), 405),
@@ -109,8 +109,8 @@
 ]
 
 
-@pytest.mark.parametrize("bad,status", BAD)
-def test_what_no_usual_client_sends_is_turned_down(bad, status):
-    with pytest.raises(checks.RequestError) as caught:
-        checks.parse_request(message(**bad), SETTINGS)
-    assert caught.value.status == status
+@pytest.mark.parametrize("changes,status", INVALID)
+def test_invalid_requests_are_rejected(changes, status):
+    with pytest.raises(checks.RequestError) as error:
+        checks.parse_request(message(**changes), SETTINGS)
+    assert error.value.status == status
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""The side of the clients: what is read, what is turned down, and exactly one answer for each request."""
+"""Client connections: valid and malformed requests, limits, and exactly one answer for each request."""
 
 import asyncio
 import contextlib
@@ -22,34 +22,42 @@
 from elderhub import clients
 
 
-def test_a_request_is_passed_on_and_its_answer_comes_back_unchanged():
+def test_a_request_and_its_answer_are_forwarded_unchanged():
     async def scene():
         backend = Backend(reply_ok(b"\x00beds\xff", b"Content-Type: text/x\r\nX-Server-Load: queue=2\r\n"))
-        async with World({"b1": backend}) as w:
-            answer = await w.call(request("hold", body=b"two nights", name="id-1", Accept_Language="no"))
+        async with World({"b1": backend}) as world:
+            answer = await world.call(request("hold", body=b"two nights", name="id-1", Accept_Language="no"))
             assert (answer.status, answer.body) == (200, b"\x00beds\xff")
             assert answer.headers["content-type"] == "text/x" and "x-server-load" not in answer.headers
-            seen = backend.requests[0]
-            assert (seen.method, seen.target, seen.body) == ("POST", f"/api/{CUSTOMER}?q=1", b"two nights")
+            received = backend.requests[0]
+            assert (received.method, received.target, received.body) == (
+                "POST",
+                f"/api/{CUSTOMER}?q=1",
+                b"two nights",
+            )
+            assert (
+                received.headers["x-request-id"] == request_id("id-1")
+                and received.headers["idempotency-key"] == "k1"
+            )
             assert (
-                seen.headers["x-request-id"] == request_id("id-1") and seen.headers["idempotency-key"] == "k1"
+                received.headers["accept-language"] == "no"
+                and 0 < float(received.headers["x-timeout"]) <= 8.0
             )
-            assert seen.headers["accept-language"] == "no" and 0 < float(seen.headers["x-timeout"]) <= 8.0
 
     run(scene)
 
 
-def test_an_empty_quota_is_refused_at_once_with_the_time_to_come_back():
+def test_an_exhausted_quota_is_refused_at_once_with_retry_after():
     async def scene():
-        async with World({"b1": Backend()}) as w:
-            answers = [await w.call(request(plan="basic")) for _ in range(3)]
+        async with World({"b1": Backend()}) as world:
+            answers = [await world.call(request(plan="basic")) for _ in range(3)]
             assert [a.status for a in answers] == [200, 200, 429]
             assert float(answers[2].headers["retry-after"]) > 0
 
     run(scene)
 
 
-BAD = {
+MALFORMED = {
     "not HTTP": (b"hello\r\n\r\n", 400),
     "an id twice": (request().replace(b"Plan:", b"X-Request-ID: %b\r\nPlan:" % (b"2" * 16)), 400),
     "no such class": (request(X_Priority_Class="reads"), 400),
@@ -68,46 +76,46 @@
         request("hold", Content_Length=None, Transfer_Encoding="chunked") + b"zz\r\nx\r\n",
         400,
     ),
-    # Either could hide a request in the body of another.
+    # Ambiguous framing, which could hide a request in the body of another.
     "two framings": (request("hold", Transfer_Encoding="chunked") + b"0\r\n\r\n" + request(), 400),
     "two lengths": (request("hold").replace(b"Plan:", b"Content-Length: 4\r\nPlan:"), 400),
     "a length below nothing": (request("hold", Content_Length="-4"), 400),
     "a length with a sign": (request("hold", Content_Length="+4"), 400),
     "a length that is no number": (request("hold", Content_Length="4_0"), 400),
     "a length beyond counting": (request("hold", Content_Length="9" * 40), 400),
-    "60 MB": (request("hold", Content_Length="60000000"), 413),  # refused by what it says, before it comes
+    "60 MB": (request("hold", Content_Length="60000000"), 413),  # rejected by its header, before the body
 }
 
 
-def test_malformed_input_is_turned_down_and_never_reaches_a_backend():
+def test_malformed_input_is_rejected_and_never_reaches_a_backend():
     async def scene():
         backend = Backend()
-        async with World({"b1": backend}) as w:
-            for name, (data, code) in BAD.items():
-                assert (await w.call(data)).status == code, name
+        async with World({"b1": backend}) as world:
+            for name, (data, status) in MALFORMED.items():
+                assert (await world.call(data)).status == status, name
             assert not backend.requests
-            assert (await w.call(request())).status == 200  # and the gateway serves on
-            assert "Traceback" not in w.log.read_text()
+            assert (await world.call(request())).status == 200
+            assert "Traceback" not in world.log.read_text()
 
     run(scene)
 
 
-def test_bad_input_in_the_name_of_a_customer_leaves_no_trace_in_its_quota():
+def test_rejected_input_does_not_count_against_a_quota():
     async def scene():
-        async with World({"b1": Backend()}) as w:
+        async with World({"b1": Backend()}) as world:
             for part in ("units=2,spread=2", "units=1,spread=9", "units=nan,spread=2"):
                 quota = f"{part},first=0"
-                assert (await w.call(request(plan="basic", Quota_Info=quota))).status == 400
-            assert [(await w.call(request(plan="basic"))).status for _ in range(3)] == [200, 200, 429]
+                assert (await world.call(request(plan="basic", Quota_Info=quota))).status == 400
+            assert [(await world.call(request(plan="basic"))).status for _ in range(3)] == [200, 200, 429]
 
     run(scene)
 
 
-def test_a_client_that_is_still_sending_can_read_why_it_was_turned_down():
-    # Closing with unread input resets the connection, and the reset overtakes the answer.
+def test_a_client_that_is_still_sending_can_read_its_rejection():
+    # Closing with unread input sends a reset, which may overtake the response.
     async def scene():
-        async with World({"b1": Backend()}) as w:
-            client = await w.connect()
+        async with World({"b1": Backend()}) as world:
+            client = await world.connect()
             client.send(request("hold", body=b"x" * 5_000_000))
             assert (await client.read_response()).status == 413
             await client.writer.drain()
@@ -116,13 +124,13 @@
     run(scene)
 
 
-def test_a_chunked_body_is_passed_on_whole_and_its_trailers_are_not_headers():
+def test_a_chunked_body_is_forwarded_whole_and_its_trailers_are_not_headers():
     async def scene():
         backend = Backend()
-        async with World({"b1": backend}) as w:
+        async with World({"b1": backend}) as world:
             data = request("hold", Content_Length=None, Transfer_Encoding="chunked")
             data += b"3\r\ntwo\r\n7\r\n nights\r\n0\r\nPlan: other\r\nX-Late: 1\r\n\r\n"
-            assert (await w.call(data)).status == 200
+            assert (await world.call(data)).status == 200
             assert backend.requests[0].body == b"two nights"
             assert (
                 backend.requests[0].headers["plan"] == "free" and "x-late" not in backend.requests[0].headers
@@ -131,11 +139,11 @@
     run(scene)
 
 
-def test_an_offer_of_another_protocol_is_passed_over():
+def test_an_upgrade_offer_is_ignored():
     async def scene():
         backend = Backend()
-        async with World({"b1": backend}) as w:
-            client = await w.connect()
+        async with World({"b1": backend}) as world:
+            client = await world.connect()
             client.send(request(Connection="Upgrade", Upgrade="h2c") + b"PRI * HTTP/2.0")
             answer = await client.read_response()
             assert (answer.status, answer.headers["connection"]) == (200, "close")
@@ -147,16 +155,16 @@
 
 def test_pipelined_requests_are_answered_in_order():
     async def scene():
-        async def echo(seen, writer):
-            await reply_ok(seen.headers["x-request-id"].encode())(seen, writer)
+        async def echo(received, writer):
+            await reply_ok(received.headers["x-request-id"].encode())(received, writer)
 
-        async with World({"b1": Backend(echo)}) as w:
-            client = await w.connect()
+        async with World({"b1": Backend(echo)}) as world:
+            client = await world.connect()
             client.send(b"".join(request(name=f"r{i}") for i in range(4)) + b"nonsense\r\n\r\n")
             assert [(await client.read_response()).body for _ in range(4)] == [
                 request_id(f"r{i}").encode() for i in range(4)
             ]
-            assert (await client.read_response()).status == 400  # after the answers before it
+            assert (await client.read_response()).status == 400
             assert await client.closed_by_peer()
 
     run(scene)
@@ -164,8 +172,8 @@
 
 def test_a_request_in_pieces_is_read():
     async def scene():
-        async with World({"b1": Backend()}) as w:
-            client = await w.connect()
+        async with World({"b1": Backend()}) as world:
+            client = await world.connect()
             for byte in request("hold", body=b"two nights"):
                 client.send(bytes([byte]))
                 await client.writer.drain()
@@ -175,7 +183,7 @@
     run(scene)
 
 
-SHORT = "clients.REQUEST_READ_TIMEOUT_S = 0.3"
+SHORT_READ_TIMEOUT = "clients.REQUEST_READ_TIMEOUT_S = 0.3"
 
 
 @pytest.mark.parametrize(
@@ -184,8 +192,8 @@
 )
 def test_a_half_sent_request_times_out(part):
     async def scene():
-        async with World({"b1": Backend()}, patch=SHORT) as w:
-            client = await w.connect()
+        async with World({"b1": Backend()}, patch=SHORT_READ_TIMEOUT) as world:
+            client = await world.connect()
             client.send(part)
             assert (await client.read_response()).status == 408
             assert await client.closed_by_peer()
@@ -193,127 +201,131 @@
     run(scene)
 
 
-def test_a_connection_that_never_speaks_is_closed_and_one_that_did_may_stay():
+def test_a_connection_without_a_request_is_closed_and_a_used_one_may_stay():
     async def scene():
-        async with World({"b1": Backend()}, patch=SHORT) as w:
-            silent, usual = await w.connect(), await w.connect()
-            usual.send(request())
-            assert (await usual.read_response()).status == 200
+        async with World({"b1": Backend()}, patch=SHORT_READ_TIMEOUT) as world:
+            silent, active = await world.connect(), await world.connect()
+            active.send(request())
+            assert (await active.read_response()).status == 200
             assert await silent.closed_by_peer()
-            later = await w.connect()
+            later = await world.connect()
             assert await later.closed_by_peer()
-            usual.send(request())
-            assert (await usual.read_response()).status == 200
+            active.send(request())
+            assert (await active.read_response()).status == 200
 
     run(scene)
 
 
-def test_few_requests_are_read_ahead_on_one_connection():
+def test_pipelined_requests_on_one_connection_are_limited():
     async def scene():
         backend = Backend()
-        async with World({"b1": backend}) as w:
-            client = await w.connect()
+        async with World({"b1": backend}) as world:
+            client = await world.connect()
             client.send(b"".join(request(name=f"r{i}") for i in range(400)))
-            codes = []
+            statuses = []
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                 while True:
-                    codes.append((await client.read_response()).status)
-            assert codes == [200] * (len(codes) - 1) + [429] and len(backend.requests) == len(codes) - 1
-            assert 1 < len(codes) <= 2 * clients.MAX_QUEUED_REQUESTS
+                    statuses.append((await client.read_response()).status)
+            assert (
+                statuses == [200] * (len(statuses) - 1) + [429] and len(backend.requests) == len(statuses) - 1
+            )
+            assert 1 < len(statuses) <= 2 * clients.MAX_QUEUED_REQUESTS
 
     run(scene)
 
 
 def test_a_client_that_leaves_ends_its_attempt_and_the_next_is_served():
     async def scene():
-        hold = HeldReply()
-        backend = Backend(hold)
-        async with World({"b1": backend}) as w:
-            client = await w.connect()
+        held_reply = HeldReply()
+        backend = Backend(held_reply)
+        async with World({"b1": backend}) as world:
+            client = await world.connect()
             client.send(request())
-            await hold.reached.wait()
+            await held_reply.reached.wait()
             client.writer.close()
             await wait_until(lambda: backend.writers[0].is_closing() or backend.readers[0].at_eof())
-            hold.release.set()
-            assert (await w.call(request(name="r2"))).status == 200
-            assert "Traceback" not in w.log.read_text()
+            held_reply.release.set()
+            assert (await world.call(request(name="r2"))).status == 200
+            assert "Traceback" not in world.log.read_text()
 
     run(scene)
 
 
-def test_an_id_that_is_in_use_is_turned_down_and_free_again_when_its_request_is_over():
+def test_a_request_id_in_use_is_rejected_and_free_again_after_its_request():
     async def scene():
-        hold = HeldReply()
-        backend = Backend(hold)
-        async with World({"b1": backend}) as w:
-            first = asyncio.create_task(w.call(request(name="r1")))
-            await hold.reached.wait()
-            assert (await w.call(request("hold", name="r1"))).status == 409
-            hold.release.set()
+        held_reply = HeldReply()
+        backend = Backend(held_reply)
+        async with World({"b1": backend}) as world:
+            first = asyncio.create_task(world.call(request(name="r1")))
+            await held_reply.reached.wait()
+            assert (await world.call(request("hold", name="r1"))).status == 409
+            held_reply.release.set()
             assert (await first).status == 200
-            assert (await w.call(request(name="r1"))).status == 200
+            assert (await world.call(request(name="r1"))).status == 200
             assert len(backend.requests) == 2
 
     run(scene)
 
 
 @pytest.mark.parametrize(
-    "version,header,lasts",
+    "version,header,is_kept",
     [(b"1.1", {}, True), (b"1.1", {"Connection": "close"}, False), (b"1.0", {}, False)],
 )
-def test_connections_last_as_the_client_asks(version, header, lasts):
+def test_connections_are_kept_as_the_client_asks(version, header, is_kept):
     async def scene():
-        async with World({"b1": Backend()}) as w:
-            client = await w.connect()
+        async with World({"b1": Backend()}) as world:
+            client = await world.connect()
             client.send(request(**header).replace(b"HTTP/1.1", b"HTTP/" + version))
-            assert (await client.read_response()).headers.get("connection") == (None if lasts else "close")
-            if not lasts:
+            assert (await client.read_response()).headers.get("connection") == (None if is_kept else "close")
+            if not is_kept:
                 assert await client.closed_by_peer()
 
     run(scene)
 
 
-def test_a_failure_of_every_backend_is_no_refusal_for_what_may_have_run():
+def test_a_request_that_may_have_run_on_a_failed_backend_is_not_refused():
     async def scene():
-        async with World({"b1": Backend(reply_status(500))}) as w:
-            assert (await w.call(request("pay"))).status == 502
+        async with World({"b1": Backend(reply_status(500))}) as world:
+            assert (await world.call(request("pay"))).status == 502
 
     run(scene)
 
 
-def test_a_flood_of_silent_connections_pushes_out_its_own_and_nobody_else():
+def test_a_flood_of_silent_connections_evicts_only_silent_ones():
     async def scene():
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 128}
-        async with World({"b1": Backend()}, limits=limits, patch="clients.EVICTABLE_IDLE_S = 1000.0") as w:
-            usual, hold = [await w.connect() for _ in range(12)], HeldReply()
-            for client in usual:
+        async with World(
+            {"b1": Backend()}, limits=limits, patch="clients.EVICTABLE_IDLE_S = 1000.0"
+        ) as world:
+            active, held_reply = [await world.connect() for _ in range(12)], HeldReply()
+            for client in active:
                 client.send(request())
                 assert (await client.read_response()).status == 200
-            w.backends["b1"].reply = hold
-            usual[0].send(request())
-            await hold.reached.wait()
-            silent = [await w.connect() for _ in range(300)]
-            for client in silent[::2]:  # as does asking for nothing but our health
+            world.backends["b1"].reply = held_reply
+            active[0].send(request())
+            await held_reply.reached.wait()
+            silent = [await world.connect() for _ in range(300)]
+            for client in silent[::2]:  # a health check alone does not protect a connection
                 client.send(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
             ended = [asyncio.create_task(client.reader.read()) for client in silent[1::2]]
             await asyncio.wait(ended[:100])
-            hold.release.set()
-            for client in usual[1:]:
+            held_reply.release.set()
+            for client in active[1:]:
                 client.send(request())
                 assert (await client.read_response()).status == 200
-            assert (await usual[0].read_response()).status == 200
-            assert (await w.call(request())).status == 200
+            assert (await active[0].read_response()).status == 200
+            assert (await world.call(request())).status == 200
             await asyncio.gather(*ended, return_exceptions=True)
 
     run(scene)
 
 
-LISTENING = """def listening(where, backlog):
+LISTEN_PATCH = """def listening(where, backlog):
     out = clients.socket.socket()
     out.bind(where)
     out.listen(backlog)
     return out
-"""  # for a patch: a listening socket of the class that the patch has put in its place
+"""  # returns a listening socket of the class that the rest of the patch puts into clients.socket
 
 
 def test_a_gateway_with_no_descriptor_left_waits_and_serves_again():
@@ -330,24 +342,24 @@
 clients.socket.create_server = listening"""
 
     async def scene():
-        async with World({"b1": Backend()}, patch=LISTENING + patch) as w:
-            assert (await w.call(request())).status == 200
-            text = w.log.read_text()
+        async with World({"b1": Backend()}, patch=LISTEN_PATCH + patch) as world:
+            assert (await world.call(request())).status == 200
+            text = world.log.read_text()
             assert "no connection can be taken" in text
-            assert int(text.partition("tries ")[2].split()[0]) < 1000  # a busy loop tries far more often
+            assert int(text.partition("tries ")[2].split()[0]) < 1000  # no busy loop
 
     run(scene)
 
 
-ACCEPT_FAILS = (
-    LISTENING
+FAILING_ACCEPT_PATCH = (
+    LISTEN_PATCH
     + """import os, socket, time
 accept = socket.socket.accept
 def failing(self):
     if os.path.exists({flag!r}):
         os.unlink({flag!r})
         time.sleep({sleep_s})
-        raise OSError({number}, "injected")
+        raise OSError({error_number}, "injected")
     return accept(self)
 clients.socket.socket = type("Failing", (socket.socket,), {{"accept": failing}})
 clients.socket.create_server = listening
@@ -356,30 +368,32 @@
 ACCEPT_ERRORS = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO, errno.EINTR]
 
 
-each_accept_error = pytest.mark.parametrize("number", ACCEPT_ERRORS, ids=errno.errorcode.get)
+each_accept_error = pytest.mark.parametrize("error_number", ACCEPT_ERRORS, ids=errno.errorcode.get)
 
 
-def accept_fails(tmp_path, number, sleep_s, idle_s):
-    """A gateway whose next accept fails once the file that is returned with it is there."""
+def world_with_failing_accept(tmp_path, error_number, sleep_s, idle_s):
+    """Returns a file and a gateway whose next accept fails once that file exists."""
     flag = tmp_path / "fail"
-    patch = ACCEPT_FAILS.format(flag=str(flag), sleep_s=sleep_s, number=number, idle_s=idle_s)
+    patch = FAILING_ACCEPT_PATCH.format(
+        flag=str(flag), sleep_s=sleep_s, error_number=error_number, idle_s=idle_s
+    )
     return flag, World({"b1": Backend()}, patch=patch)
 
 
 @each_accept_error
-def test_half_a_request_gets_its_answer_though_no_connection_can_be_taken(number, tmp_path):
-    # System calls fail for moments, and each request that was taken gets precisely one final answer.
+def test_a_partial_request_is_answered_though_accept_fails(error_number, tmp_path):
+    # A failing system call must not cost a request that is being read its answer.
     async def scene():
-        flag, world = accept_fails(tmp_path, number, sleep_s=0.0, idle_s=1000.0)
-        async with world as w:
-            client, data = await w.connect(), request()
+        flag, unstarted = world_with_failing_accept(tmp_path, error_number, sleep_s=0.0, idle_s=1000.0)
+        async with unstarted as world:
+            client, data = await world.connect(), request()
             client.send(data)
             assert (await client.read_response()).status == 200
             data = request()
             client.send(data[:60])
             await asyncio.sleep(0.05)
             flag.touch()
-            assert (await w.call(request())).status == 200  # its connection is taken after a failure
+            assert (await world.call(request())).status == 200  # accepted after a failure
             assert not flag.exists()
             client.send(data[60:])
             assert (await client.read_response()).status in (200, 503)
@@ -388,19 +402,17 @@
 
 
 @each_accept_error
-def test_a_request_that_lies_unread_gets_its_answer_though_no_connection_can_be_taken(number, tmp_path):
+def test_an_unread_request_is_answered_though_accept_fails(error_number, tmp_path):
     async def scene():
-        flag, world = accept_fails(tmp_path, number, sleep_s=0.3, idle_s=0.0)
-        async with world as w:
-            client = await w.connect()
+        flag, unstarted = world_with_failing_accept(tmp_path, error_number, sleep_s=0.3, idle_s=0.0)
+        async with unstarted as world:
+            client = await world.connect()
             for _ in range(2):  # the connection is idle
                 client.send(request())
                 assert (await client.read_response()).status == 200
             flag.touch()
-            other = asyncio.create_task(w.call(request()))
-            await wait_until(
-                lambda: not flag.exists()
-            )  # the gateway stands still in accept, which is about to fail
+            other = asyncio.create_task(world.call(request()))
+            await wait_until(lambda: not flag.exists())  # the gateway is blocked in accept, which will fail
             client.send(request())
             assert (await client.read_response()).status == 200
             assert (await other).status == 200
@@ -408,18 +420,20 @@
     run(scene)
 
 
-def test_where_connections_run_short_a_first_answer_ends_its_connection_and_those_in_use_stay():
+def test_with_few_connections_left_a_first_answer_ends_its_connection_and_reused_ones_stay():
     async def scene():
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 128}
-        async with World({"b1": Backend()}, limits=limits, patch="clients.EVICTABLE_IDLE_S = 1000.0") as w:
-            usual = await w.connect()
+        async with World(
+            {"b1": Backend()}, limits=limits, patch="clients.EVICTABLE_IDLE_S = 1000.0"
+        ) as world:
+            active = await world.connect()
             for _ in range(2):
-                usual.send(request())
-                assert "connection" not in (await usual.read_response()).headers
-            ended, stayed = 0, []
-            for _ in range(40):  # of clients that ask once and stay
-                client = await w.connect()
-                stayed.append(client)
+                active.send(request())
+                assert "connection" not in (await active.read_response()).headers
+            ended, connections = 0, []
+            for _ in range(40):  # clients that send one request and stay connected
+                client = await world.connect()
+                connections.append(client)
                 client.send(request())
                 answer = await client.read_response()
                 assert answer.status == 200
@@ -427,100 +441,100 @@
                     assert await client.closed_by_peer()
                     ended += 1
             assert 20 <= ended < 40
-            usual.send(request())
-            assert "connection" not in (await usual.read_response()).headers
+            active.send(request())
+            assert "connection" not in (await active.read_response()).headers
 
     run(scene)
 
 
-def test_where_connections_run_short_those_that_stood_idle_longest_are_closed():
+def test_with_few_connections_left_those_idle_for_longest_are_closed():
     async def scene():
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 128}
-        async with World({"b1": Backend()}, limits=limits, patch="clients.EVICTABLE_IDLE_S = 0.3") as w:
-            stayed = []
+        async with World({"b1": Backend()}, limits=limits, patch="clients.EVICTABLE_IDLE_S = 0.3") as world:
+            connections = []
             for _ in range(40):
-                client = await w.connect()
-                stayed.append(client)
+                client = await world.connect()
+                connections.append(client)
                 client.send(request() + request())
                 assert [(await client.read_response()).status for _ in range(2)] == [200, 200]
-            gone = [asyncio.create_task(client.closed_by_peer()) for client in stayed[:10]]
+            gone = [asyncio.create_task(client.closed_by_peer()) for client in connections[:10]]
             assert await asyncio.gather(*gone) == [True] * 10
-            stayed[-1].send(request())
-            assert (await stayed[-1].read_response()).status == 200
+            connections[-1].send(request())
+            assert (await connections[-1].read_response()).status == 200
 
     run(scene)
 
 
-def test_an_answer_comes_before_the_clients_time_is_up():
+def test_a_request_is_answered_before_its_deadline():
     async def scene():
-        async with World({"b1": Backend(HeldReply())}) as w:
-            answer = await w.call(request("pay", X_Timeout="0.3"))
-            assert answer.status == 502  # it may have run, so it is no refusal
-            answer = await w.call(request(X_Timeout="0.3"))
+        async with World({"b1": Backend(HeldReply())}) as world:
+            answer = await world.call(request("pay", X_Timeout="0.3"))
+            assert answer.status == 502  # not 503, as the request may have run
+            answer = await world.call(request(X_Timeout="0.3"))
             assert answer.status == 503
 
     run(scene)
 
 
-# Deadlines longer than any test may last: what ends before ended for another reason.
-PATIENT = {"classes": [{**entry, "giveUpMs": 120000.0} for entry in CLASSES]}
+# Deadlines longer than any test, so that no request ends by its deadline.
+LONG_DEADLINES = {"classes": [{**entry, "giveUpMs": 120000.0} for entry in CLASSES]}
 
 
-@pytest.mark.parametrize("more", [1, 5, 400])
-def test_a_client_that_leaves_with_requests_waiting_behind_one_another_is_noticed(more):
-    # Reading has to go on while they wait their turn, or none of it would be called off.
+@pytest.mark.parametrize("pipelined_count", [1, 5, 400])
+def test_a_client_that_leaves_with_pipelined_requests_is_noticed(pipelined_count):
+    # Without reading on behind a queued request, the client's disconnection would go unnoticed.
     async def scene():
-        hold = HeldReply()
-        backend = Backend(hold)
-        async with World({"b1": backend}, settings_changes=PATIENT) as w:
-            client = await w.connect()
-            client.send(b"".join(request(name=f"r{i}", X_Timeout="120") for i in range(1 + more)))
-            await hold.reached.wait()
+        held_reply = HeldReply()
+        backend = Backend(held_reply)
+        async with World({"b1": backend}, settings_changes=LONG_DEADLINES) as world:
+            client = await world.connect()
+            client.send(b"".join(request(name=f"r{i}", X_Timeout="120") for i in range(1 + pipelined_count)))
+            await held_reply.reached.wait()
             client.writer.transport.abort()
-            await wait_until(lambda: backend.readers[0].at_eof())  # the first one is called off
-            hold.release.set()
-            assert (await w.call(request(name="next"))).status == 200
-            assert [seen.headers["x-request-id"] for seen in backend.requests] == [
+            await wait_until(lambda: backend.readers[0].at_eof())  # the first one is cancelled
+            held_reply.release.set()
+            assert (await world.call(request(name="next"))).status == 200
+            assert [received.headers["x-request-id"] for received in backend.requests] == [
                 request_id("r0"),
                 request_id("next"),
             ]
-            assert "Traceback" not in w.log.read_text()
+            assert "Traceback" not in world.log.read_text()
 
     run(scene)
 
 
-def test_what_is_read_ahead_is_bounded_in_bytes_and_still_answered_in_order():
+def test_queued_input_is_bounded_in_bytes_and_answered_in_order():
     async def scene():
-        hold = HeldReply()
-        backend = Backend(hold)
-        async with World({"b1": backend}) as w:
-            client = await w.connect()
+        held_reply = HeldReply()
+        backend = Backend(held_reply)
+        async with World({"b1": backend}) as world:
+            client = await world.connect()
             client.send(request("hold", name="r0"))
-            await hold.reached.wait()
+            await held_reply.reached.wait()
             body = b"x" * 60_000
             client.send(b"".join(request("hold", name=f"r{i}", body=body) for i in range(1, 31)))
             await client.writer.drain()
-            hold.release.set()
-            codes = []
+            held_reply.release.set()
+            statuses = []
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                 while True:
-                    codes.append((await client.read_response()).status)
-            assert codes == [200] * len(backend.requests) + [429] and len(codes) < 12
+                    statuses.append((await client.read_response()).status)
+            assert statuses == [200] * len(backend.requests) + [429] and len(statuses) < 12
 
     run(scene)
 
 
-def test_a_client_that_floods_behind_a_request_is_cut_off_and_its_request_called_off():
+def test_a_client_that_floods_behind_a_request_is_disconnected_and_its_request_cancelled():
     async def scene():
-        hold = HeldReply()
-        backend = Backend(hold)
-        async with World({"b1": backend}, settings_changes=PATIENT) as w:
-            client = await w.connect()
+        held_reply = HeldReply()
+        backend = Backend(held_reply)
+        async with World({"b1": backend}, settings_changes=LONG_DEADLINES) as world:
+            client = await world.connect()
             client.send(request("hold", name="r0", X_Timeout="120"))
-            await hold.reached.wait()
+            await held_reply.reached.wait()
             client.send(b"\x00" * (clients.MAX_LINGER_BYTES + (4 << 20)))
             await wait_until(lambda: backend.readers[0].at_eof())
-            hold.release.set()
-            assert (await w.call(request(name="next"))).status == 200
+            held_reply.release.set()
+            assert (await world.call(request(name="next"))).status == 200
 
     run(scene)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""What the gateway is told at its start, and how a broken start ends."""
+"""The configuration of the gateway, and how a failed start ends."""
 
 import json
 import subprocess
@@ -30,38 +30,38 @@
     }
 
 
-def loaded(tmp_path, what, **environ):
+def load(tmp_path, raw, **environ):
     path = tmp_path / "config.json"
-    path.write_text(what if isinstance(what, str) else json.dumps(what))
+    path.write_text(raw if isinstance(raw, str) else json.dumps(raw))
     return load_config({"NODE_CONFIG": str(path), **environ})
 
 
-def test_everything_is_read(tmp_path):
-    config = loaded(tmp_path, raw_config())
+def test_every_field_is_read(tmp_path):
+    config = load(tmp_path, raw_config())
     assert config.listen == ("127.0.0.1", 7070) and config.discovery == ("127.0.0.1", 8500)
     assert config.counter == ("127.0.0.1", 6400) and config.peers_all == ("127.3.255.1", 7946)
     assert config.seed == 0x8C1F30D27A5BE964 and config.sockets == 900 and config.keepalive_ms == 60000.0
     assert config.known.addresses == {"a": ("127.0.0.9", 80)} and config.settings.plans["basic"].burst == 2.0
 
 
-def test_variables_go_before_the_file(tmp_path):
-    config = loaded(
+def test_environment_variables_take_precedence_over_the_file(tmp_path):
+    config = load(
         tmp_path, raw_config(), NODE_NAME="n7", NODE_LISTEN="127.0.0.4:1", NODE_DISCOVERY="127.0.0.4:2"
     )
     assert (config.name, config.listen[1], config.discovery[1]) == ("n7", 1, 2)
 
 
-def test_a_counter_or_peers_that_the_settings_do_not_allow_are_left_alone(tmp_path):
+def test_a_counter_or_peers_that_the_settings_do_not_allow_are_ignored(tmp_path):
     changed = settings(familyInfo={"counter": False}, policyLimits={"peerMessages": False})
-    config = loaded(tmp_path, raw_config(settings=changed))
+    config = load(tmp_path, raw_config(settings=changed))
     assert config.counter is None and config.peer_listen is None
 
 
-def plan(**changes):
+def with_plan(**changes):
     return raw_config(settings=settings(plans=[{"name": "free"}, {"name": "basic", **changes}]))
 
 
-BROKEN = {  # what an error names, and a configuration that has it wrong
+INVALID = {  # the start of the error message, and the configuration that causes it
     "Expecting property name": "{",
     "not an object": "[]",
     "listen: '7070'": raw_config(listen="7070"),
@@ -76,8 +76,8 @@
     "settings.classes[0].idempotency: ['safe']": raw_config(
         settings={"classes": [{"name": "a", "idempotency": ["safe"]}]}
     ),
-    "settings.plans[1].unitsPerS: 'two' is not a number": plan(unitsPerS="two"),
-    "settings.plans[1].concurrency: inf is not a whole number": plan(concurrency=float("inf")),
+    "settings.plans[1].unitsPerS: 'two' is not a number": with_plan(unitsPerS="two"),
+    "settings.plans[1].concurrency: inf is not a whole number": with_plan(concurrency=float("inf")),
     "settings.familyInfo.countWaitMs: '5'": raw_config(settings=settings(familyInfo={"countWaitMs": "5"})),
     "settings.policyLimits.keepaliveMs: ": raw_config(
         settings=settings(policyLimits={"keepaliveMs": "long"})
@@ -92,24 +92,24 @@
 }
 
 
-@pytest.mark.parametrize("told_as, what", BROKEN.items(), ids=BROKEN)
-def test_a_broken_configuration_is_told_by_file_and_field(tmp_path, told_as, what):
-    with pytest.raises(ConfigError) as found:
-        loaded(tmp_path, what)
-    assert str(found.value).startswith(f"{tmp_path / 'config.json'}: {told_as}")
-    assert "\n" not in str(found.value)
+@pytest.mark.parametrize("message, raw", INVALID.items(), ids=INVALID)
+def test_an_invalid_configuration_is_reported_by_file_and_field(tmp_path, message, raw):
+    with pytest.raises(ConfigError) as error:
+        load(tmp_path, raw)
+    assert str(error.value).startswith(f"{tmp_path / 'config.json'}: {message}")
+    assert "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize(
-    "what",
+    "raw",
     [None, "{", raw_config(listen="192.0.2.1:7070")],
     ids=["none", "broken", "an address that is not here"],
 )
-def test_a_broken_start_ends_with_one_line_and_a_code(tmp_path, what):
+def test_a_failed_start_prints_one_line_and_exits_with_an_error(tmp_path, raw):
     path = tmp_path / "config.json"
-    if what is not None:
-        path.write_text(what if isinstance(what, str) else json.dumps(what))
-    done = subprocess.run(
+    if raw is not None:
+        path.write_text(raw if isinstance(raw, str) else json.dumps(raw))
+    process = subprocess.run(
         [sys.executable, "-m", "elderhub"],
         cwd=ROOT,
         timeout=60,
@@ -117,5 +117,5 @@
         env={"NODE_CONFIG": str(path)},
         text=True,
     )
-    assert done.returncode not in (0, -15) and done.stderr.count("\n") == 1
-    assert done.stderr.startswith("elderhub: ")
+    assert process.returncode not in (0, -15) and process.stderr.count("\n") == 1
+    assert process.stderr.startswith("elderhub: ")
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -1,4 +1,4 @@
-"""Lists that come in pieces: what is read of them, and what is refused."""
+"""The incremental reader of lists: what it reads from pieces of any size, and what it refuses."""
 
 import itertools
 import json
@@ -12,48 +12,53 @@
     {"instanceId": f"s-{i}", "zone": 'a"}]\\{[', "weight": 1.5e-3 * i, "more": {"of": [{}, [i], "é\u2028\n"]}}
     for i in range(30)
 ]
-WHOLE = {"generation": 41, "reset": True, "instances": ENTRIES}
-LATE = {"other": {"instances": [1, 2]}, "instances": ENTRIES[:3], "reset": False, "generation": 42}
-BARE = {"generation": 43}
+COMPLETE_LIST = {"generation": 41, "reset": True, "instances": ENTRIES}
+LIST_WITH_LATE_GENERATION = {
+    "other": {"instances": [1, 2]},
+    "instances": ENTRIES[:3],
+    "reset": False,
+    "generation": 42,
+}
+LIST_WITHOUT_ENTRIES = {"generation": 43}
 
 
 def stream(*objects, **form):
     return "\n\n".join(json.dumps(one, **form) for one in objects).encode() + b"\n"
 
 
-def parts(data, size, most):
+def parts(data, size, max_entries):
     reader = ListReader()
-    for at in range(0, len(data), size):
-        reader.feed(data[at : at + size])
-        while (part := reader.read(most)) is not None:
+    for position in range(0, len(data), size):
+        reader.feed(data[position : position + size])
+        while (part := reader.read(max_entries)) is not None:
             yield part
 
 
-def objects(data, size=1 << 20, most=7):
-    """What was read in the end, each object whole again."""
-    whole, entries = [], []
-    for part in parts(data, size, most):
+def objects(data, size=1 << 20, max_entries=7):
+    """Returns the entries, generation and reset of each object, joined over its parts."""
+    complete, entries = [], []
+    for part in parts(data, size, max_entries):
         entries += part.entries
         if part.is_last:
-            whole.append((entries, part.generation, part.reset))
+            complete.append((entries, part.generation, part.reset))
             entries = []
-    return whole
+    return complete
 
 
 @pytest.mark.parametrize("size", [1, 2, 61, 1 << 20])
 @pytest.mark.parametrize(
     "form", [{}, {"indent": 2}, {"indent": "\t", "ensure_ascii": False}, {"separators": (",", ":")}], ids=str
 )
-def test_objects_are_read_in_any_pieces_and_any_form(size, form):
-    assert objects(stream(WHOLE, LATE, BARE, **form), size) == [
+def test_objects_are_read_in_pieces_of_any_size_and_any_formatting(size, form):
+    assert objects(stream(COMPLETE_LIST, LIST_WITH_LATE_GENERATION, LIST_WITHOUT_ENTRIES, **form), size) == [
         (ENTRIES, 41, True),
         (ENTRIES[:3], 42, False),
         ([], 43, None),
     ]
 
 
-def test_entries_are_handed_on_as_they_come_and_so_many_at_once_at_most():
-    reader, data = ListReader(), stream(WHOLE)
+def test_entries_are_returned_as_they_arrive_up_to_a_maximum():
+    reader, data = ListReader(), stream(COMPLETE_LIST)
     reader.feed(data[: len(data) // 2])
     early = list(iter(lambda: reader.read(4), None))
     assert sum(len(part.entries) for part in early) >= 14 and not any(part.is_last for part in early)
@@ -82,13 +87,13 @@
     ],
     ids=repr,
 )
-def test_what_is_no_list_is_refused(data):
+def test_malformed_input_is_refused(data):
     with pytest.raises(ValueError):
         objects(data + b"\n")
 
 
 @pytest.mark.parametrize(
-    "begin, piece",
+    "prefix, piece",
     [
         (b'{"instances":["', b"x"),
         (b'{"instances":[[', b"7,"),
@@ -100,10 +105,10 @@
         (b'{"instances":[],', b'"a":"b",'),
     ],
 )
-def test_what_never_ends_is_refused_before_much_of_it_is_kept(monkeypatch, begin, piece):
+def test_endless_input_is_refused_with_bounded_memory(monkeypatch, prefix, piece):
     monkeypatch.setattr(lists, "MAX_ENTRIES", 10000)
     reader, size = ListReader(), 1 << 12
-    reader.feed(begin)
+    reader.feed(prefix)
     with pytest.raises(ValueError):
         for _ in range(1000):
             reader.feed(piece * (size // len(piece)))
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""The real program on loopback sockets, among small backends, a counter and a discovery of our own."""
+"""Runs the real gateway as a process on loopback, among test backends, a counter and a discovery service."""
 
 import asyncio
 import contextlib
@@ -17,9 +17,9 @@
 import uvloop
 
 ROOT = Path(__file__).parent.parent
-LIMIT_S = 30.0  # for anything that is waited for: generous, as it only tells a hang
+WAIT_TIMEOUT_S = 30.0  # only detects hangs
 CUSTOMER = "00000000b4d65521"
-# of a connection or a test
+# Raised where the other side of a connection has gone, or the test ends.
 DISCONNECT_ERRORS = (ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError)
 
 CLASSES = [
@@ -39,6 +39,7 @@
 
 
 def settings(**changes):
+    """Returns the `settings` of a configuration; a dict in `changes` is merged into the default one."""
     base = {
         "me": 0,
         "instances": 2,
@@ -70,7 +71,7 @@
 
 @dataclass
 class ReceivedRequest:
-    """A request as a backend read it."""
+    """A request as a backend received it."""
 
     method: str
     target: str
@@ -81,27 +82,32 @@
 
 
 def reply_ok(body=b"beds", head=b""):
-    async def reply(seen, writer):
+    """Replies with status 200; `head` holds further header lines."""
+
+    async def reply(received, writer):
         writer.write(b"HTTP/1.1 200 OK\r\n%bContent-Length: %d\r\n\r\n%b" % (head, len(body), body))
 
     return reply
 
 
 def reply_status(code, head=b""):
-    async def reply(seen, writer):
+    """Replies with a status and an empty body; `head` holds further header lines."""
+
+    async def reply(received, writer):
         writer.write(b"HTTP/1.1 %d Odd\r\n%bContent-Length: 0\r\n\r\n" % (code, head))
 
     return reply
 
 
 def reply_not_processed():
+    """Refuses a request in the way that says that it was not processed."""
     return reply_status(503, b"X-Not-Processed: 1\r\n")
 
 
 def reply_reset(sent=b""):
-    """Resets the connection in place of the (rest of the) answer."""
+    """Resets the connection after the bytes `sent`, in place of the rest of the response."""
 
-    async def reply(seen, writer):
+    async def reply(received, writer):
         if sent:
             writer.write(sent)
             await writer.drain()
@@ -112,16 +118,16 @@
 
 
 def reset(writer):
-    """Close with a reset: without this, a close with nothing unread is an orderly end."""
+    """Closes a connection with a reset instead of an orderly end."""
     connection = writer.get_extra_info("socket")
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
 def reply_until_close(*parts):
-    """Answers with these bytes, and then ends the connection in order."""
+    """Replies with these raw bytes and then closes the connection in order."""
 
-    async def reply(seen, writer):
+    async def reply(received, writer):
         for part in parts:
             writer.write(part)
             await writer.drain()
@@ -132,18 +138,20 @@
 
 
 class HeldReply:
-    """Answers only when released."""
+    """Replies with `then` once `release` is set; `reached` is set by the first request."""
 
     def __init__(self, then=None):
         self.reached, self.release, self._then = asyncio.Event(), asyncio.Event(), then or reply_ok()
 
-    async def __call__(self, seen, writer):
+    async def __call__(self, received, writer):
         self.reached.set()
         await self.release.wait()
-        await self._then(seen, writer)
+        await self._then(received, writer)
 
 
 class Backend:
+    """A backend on a socket, which records its requests and answers them with `reply`."""
+
     def __init__(self, reply=None):
         self.reply, self.requests, self.connections, self.closed_connections = reply or reply_ok(), [], 0, 0
         self.writers, self.readers = [], []
@@ -164,16 +172,16 @@
                 method, target, _ = head[0].split(" ")
                 headers = {k.lower(): v.strip() for k, _, v in (x.partition(":") for x in head[1:] if x)}
                 body = await reader.readexactly(int(headers.get("content-length", 0)))
-                seen = ReceivedRequest(method, target, headers, body, number)
-                self.requests.append(seen)
-                await self.reply(seen, writer)
+                received = ReceivedRequest(method, target, headers, body, number)
+                self.requests.append(received)
+                await self.reply(received, writer)
                 await writer.drain()
         self.closed_connections += 1
         writer.close()
 
 
 class Counter:
-    """Keeps numbers by name. `answer`, where set, gives the answer to a line in place of the total."""
+    """A counter service. `answer`, if set, returns the answer to a line, or None for the usual one."""
 
     def __init__(self):
         self.totals, self.lines, self.answer, self.connections, self.writers = {}, [], None, 0, []
@@ -205,7 +213,7 @@
 
 
 class Discovery:
-    """The agent: watches get the list, then what is told, and a heartbeat."""
+    """A discovery agent: a watch gets the list, then published changes and heartbeats."""
 
     def __init__(self):
         self.generation, self.entries, self.targets, self.writers = 1, {}, [], []
@@ -249,9 +257,9 @@
                     self.heartbeats_sent += 1
                     await writer.drain()
 
-    def _line(self, writer, what):
-        data = json.dumps(what).encode() + b"\n"
-        middle = len(data) // 2  # chunks need not end where lines do
+    def _line(self, writer, message):
+        data = json.dumps(message).encode() + b"\n"
+        middle = len(data) // 2  # chunk boundaries need not be line boundaries
         for part in (data[:middle], data[middle:]):
             writer.write(b"%x\r\n%b\r\n" % (len(part), part))
 
@@ -276,7 +284,7 @@
 
 @dataclass
 class Connection:
-    """A client's connection."""
+    """A client connection to the gateway."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -291,23 +299,24 @@
         return Answer(int(head[0].split(" ")[1]), headers, body)
 
     async def closed_by_peer(self):
-        """Nothing more comes, and the other side has closed."""
+        """Whether the gateway closes the connection and sends nothing before that."""
         return await self.reader.read() == b""
 
 
-NEW = itertools.count(1)
+request_numbers = itertools.count(1)
 
 
 def request_id(name):
-    """An id of the protocol's form."""
+    """Returns the X-Request-ID for a short name."""
     return f"{int.from_bytes(name.encode()):016x}"
 
 
 def request(kind="read", plan="free", customer=CUSTOMER, name=None, body=b"", **headers):
+    """Returns the bytes of a valid request; a header set to None is left out."""
     method = "GET" if kind == "read" else "POST"
     fields = {
         "Host": "api.internal",
-        "X-Request-ID": request_id(name or f"n{next(NEW)}"),
+        "X-Request-ID": request_id(name or f"n{next(request_numbers)}"),
         "X-Priority-Class": kind,
         "Plan": plan,
         "X-Timeout": "8.0",
@@ -323,16 +332,18 @@
 
 @dataclass
 class World:
+    """A gateway process with its backends, counter, discovery agent and one peer; a context manager."""
+
     backends: dict = field(default_factory=dict)
-    extra_ports: dict = field(default_factory=dict)  # of backends that are not ours
+    extra_ports: dict = field(default_factory=dict)  # ports of further backends that the test serves itself
     settings_changes: dict = field(default_factory=dict)
-    known: dict | None = None
+    known: dict | None = None  # the cached list; None for the current one
     environ: dict = field(default_factory=dict)
     limits: dict = field(default_factory=lambda: {"cores": 1.0, "memory_mb": 192, "sockets": 1024})
-    started: dict = field(default_factory=dict)
-    waits_until_ready: bool = True  # for the program to be ready
+    started: dict = field(default_factory=dict)  # start times of backends, in Unix ms
+    waits_until_ready: bool = True
     discovery: Discovery = field(default_factory=Discovery)
-    patch: str = ""  # statements that shorten a limit of the program's, or break it
+    patch: str = ""  # Python statements that change a limit or a function in the gateway process
 
     async def __aenter__(self):
         self.counter = await Counter().start()
@@ -383,11 +394,12 @@
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable, *self.command(), cwd=ROOT, env=env, stdout=log, stderr=log
             )
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while self.waits_until_ready and await self.health() != 200:
                 await asyncio.sleep(0.02)
 
     async def health(self):
+        """Returns the status of a health check, or None while the gateway does not accept connections."""
         assert self.process.returncode is None, self.log.read_text()
         try:
             client = await self.connect()
@@ -416,7 +428,7 @@
         return Connection(*await asyncio.open_connection(HOST, self.listen_port))
 
     async def call(self, data):
-        """One request on a connection of its own."""
+        """Sends one request on a connection of its own and returns its response."""
         client = await self.connect()
         client.send(data)
         answer = await client.read_response()
@@ -424,11 +436,14 @@
         return answer
 
     async def stop(self):
+        """Ends the gateway with SIGTERM and returns its exit status."""
         self.process.send_signal(signal.SIGTERM)
         return await self.process.wait()
 
 
 class DatagramPeer(asyncio.DatagramProtocol):
+    """The address of another gateway, which queues the datagrams that it receives."""
+
     def __init__(self):
         self.received = asyncio.Queue()
 
@@ -441,10 +456,11 @@
         self.received.put_nowait((data, addr))
 
 
-HOST = "127.0.0.2"  # for ports that are chosen ahead: connections going out take theirs on 127.0.0.1
+HOST = "127.0.0.2"  # for ports chosen in advance, as outgoing connections use up ports of 127.0.0.1
 
 
 def free_port(kind=socket.SOCK_STREAM):
+    """Returns a port that is free on HOST."""
     with socket.socket(type=kind) as s:
         s.bind((HOST, 0))
         return s.getsockname()[1]
@@ -452,7 +468,7 @@
 
 @contextlib.contextmanager
 def unreachable_port():
-    """A port whose queue is full: connections to it stay half-way."""
+    """Yields a port whose accept queue is full, so that connecting to it never completes."""
     with contextlib.ExitStack() as stack:
         full = stack.enter_context(socket.socket())
         full.bind(("127.0.0.1", 0))
@@ -464,17 +480,17 @@
         yield full.getsockname()[1]
 
 
-async def wait_until(true):
-    """Wait for a state that some event brings about."""
-    while not true():
+async def wait_until(condition):
+    """Polls a condition until it holds."""
+    while not condition():
         await asyncio.sleep(0.01)
 
 
 def run(scene):
-    """Play a scene to its end, on the program's own kind of loop: parts of it run here too."""
+    """Runs a coroutine function on uvloop, the event loop of the gateway, with a timeout."""
 
     async def limited():
-        async with asyncio.timeout(2 * LIMIT_S):
+        async with asyncio.timeout(2 * WAIT_TIMEOUT_S):
             await scene()
 
     uvloop.run(limited())
