--- a/elderhub/backends.py
+++ b/elderhub/backends.py
@@ -119,7 +119,7 @@
 
     def connection_made(self, transport) -> None:
         self._transport = transport
-        # With no low-water mark, `resume_writing` is called only once the whole buffer has been sent.
+        # With limits of 0, `resume_writing` is called only once the whole buffer has been sent.
         transport.set_write_buffer_limits(0)
         self._poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
         first, self._first_exchange = self._first_exchange, None
--- a/elderhub/clients.py
+++ b/elderhub/clients.py
@@ -30,7 +30,7 @@
 log = logging.getLogger(__name__)
 throttled_log = ThrottledLog(log)
 
-# A first request has to be whole within this after its connection, a later one after its first byte.
+# A first request has to be complete this long after the connect, a later one after its first byte.
 REQUEST_READ_TIMEOUT_S = 2.0
 EVICTABLE_IDLE_S = 2.0  # a connection that has been idle for less is not closed to make room
 # A half-closed connection is read until the client closes it, as a reset could overtake the last response,
@@ -171,37 +171,37 @@
         self._input_closed, self._incoming = True, None
         self._queue.append(refusal)
 
-    def check_timeouts(self, now: float) -> None:
+    def check_timeouts(self, now_s: float) -> None:
         """Ends a connection that has kept the gateway waiting for too long.
 
         A read timeout does not apply while input lies unread: the gateway itself may have been delayed.
         """
-        age = now - self.state_since_s
+        age_s = now_s - self.state_since_s
         is_stalled = self._write_paused or self.transport.is_closing()
-        if self.is_finished and age >= LINGER_TIMEOUT_S or is_stalled and age >= STALLED_WRITE_TIMEOUT_S:
+        if self.is_finished and age_s >= LINGER_TIMEOUT_S or is_stalled and age_s >= STALLED_WRITE_TIMEOUT_S:
             self.transport.abort()
-        elif not self.has_sent and age >= REQUEST_READ_TIMEOUT_S and not self.has_unread():
+        elif not self.has_sent and age_s >= REQUEST_READ_TIMEOUT_S and not self.has_unread():
             self.transport.close()
         elif (
             self._incoming is not None
             and not self._input_closed
-            and age >= REQUEST_READ_TIMEOUT_S
+            and age_s >= REQUEST_READ_TIMEOUT_S
             and not self.has_unread()
         ):
             self._reject_input(RequestError(408, "the request did not come whole"))
             self._process_next()
 
-    def eviction_rank(self, now: float) -> int | None:
+    def eviction_rank(self, now_s: float) -> int | None:
         """Returns the rank for eviction, the lowest first, or None if the connection has to stay."""
         if self.is_finished:
             return RANK_FINISHED
         if self._current is not None or self._queue:
             return None
         if not self.has_requested:
-            return RANK_UNUSED if now - self.state_since_s >= FIRST_BYTE_GRACE_S else None
+            return RANK_UNUSED if now_s - self.state_since_s >= FIRST_BYTE_GRACE_S else None
         if self._incoming is not None:
             return RANK_PARTIAL
-        return RANK_IDLE if now - self.state_since_s >= EVICTABLE_IDLE_S else None
+        return RANK_IDLE if now_s - self.state_since_s >= EVICTABLE_IDLE_S else None
 
     def refuse_partial(self) -> None:
         """Refuses the request that is being read, since its connection is evicted."""
@@ -272,6 +272,7 @@
                 self._clients.handle_message(self, item)
 
     def is_idle(self) -> bool:
+        """Whether no request is being read, queued or answered."""
         return self._current is None and self._incoming is None and not self._queue and not self.is_finished
 
     def has_unread(self) -> bool:
@@ -369,7 +370,7 @@
                     self.arrivals.on_backlog_drained()
                     return
             except OSError as error:  # without a pause the loop would call this again at once
-                throttled_log.warning("no connection can be taken: %s", error)
+                throttled_log.warning("accepting a connection failed, retrying: %s", error)
                 if error.errno in DESCRIPTOR_ERRORS:
                     self._evict(MAX_ACCEPTS_PER_TURN)  # other parts of the gateway need descriptors too
                 self._pause_accepting()
@@ -403,6 +404,7 @@
             await self.loop.connect_accepted_socket(lambda: Client(self, backlogged_since_ms), sock)
 
     def connection_opened(self, client: Client) -> None:
+        """Adds a connection that is open."""
         self._open[client] = None
         client.state_since_s = self.loop.time()
 
@@ -417,8 +419,8 @@
         """
         if count <= 0:
             return 0
-        now, evicted = self.loop.time(), 0
-        ranked = [(client.eviction_rank(now), client) for client in self._open]
+        now_s, evicted = self.loop.time(), 0
+        ranked = [(client.eviction_rank(now_s), client) for client in self._open]
         candidates = [
             (eviction_rank, client.state_since_s, client)
             for eviction_rank, client in ranked
@@ -448,15 +450,16 @@
         return len(self._open) > self._evict_idle_above
 
     def _sweep(self) -> None:
-        now = self.loop.time()
+        now_s = self.loop.time()
         for client in list(self._open):
-            client.check_timeouts(now)
+            client.check_timeouts(now_s)
         self._evict_ranked(len(self._open) - self._evict_idle_above, (RANK_IDLE,))
         if self.is_draining:
             self._close_idle()
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def connection_closed(self, client: Client) -> None:
+        """Removes a connection that is closed or about to be."""
         self._open.pop(client, None)
 
     def handle_message(self, client: Client, message: HttpRequest) -> None:
@@ -506,4 +509,5 @@
                 client.transport.close()
 
     def has_connections(self) -> bool:
+        """Whether any client is connected."""
         return bool(self._open or self._attaching)
--- a/elderhub/counter.py
+++ b/elderhub/counter.py
@@ -123,7 +123,7 @@
         if self.is_retired:
             transport.abort()
             return
-        # With no high-water mark, `pause_writing` is called whenever a call was not sent at once.
+        # With limits of 0, `pause_writing` is called whenever a call was not sent at once.
         transport.set_write_buffer_limits(0)
         self._transport, self._is_opening, self._write_paused, self._partial_line = (
             transport,
@@ -208,7 +208,7 @@
         self._loop = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task] = set()
         self._connections = [Connection(self, address) for _ in range(CONNECTION_COUNT)]
-        # Connections to a new address, each to take the place of the one with its index.
+        # Connections to a new address, each to replace the one with the same index.
         self._replacements: list[Connection | None] = [None] * CONNECTION_COUNT
 
     def start(self) -> None:
--- a/elderhub/discovery.py
+++ b/elderhub/discovery.py
@@ -238,9 +238,8 @@
         self._silent_since_s: float | None = None  # the same, until the first object of this watch
         self._list_count = 0  # received so far
         self._newest_version = version  # over all addresses of discovery
-        self._known: dict[
-            str, tuple[io.Backend, Address]
-        ] = {}  # as last reported; removed ones are not in it
+        # As last reported, without removed ones.
+        self._known: dict[str, tuple[io.Backend, Address]] = {}
         self._leaving: dict[str, float] = {}  # start time of backends that drain or were removed
         self._current_list = PendingList()
         self._task: asyncio.Task | None = None
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -345,7 +345,7 @@
         async with World({"b1": Backend()}, patch=LISTEN_PATCH + patch) as world:
             assert (await world.call(request())).status == 200
             text = world.log.read_text()
-            assert "no connection can be taken" in text
+            assert "accepting a connection failed, retrying" in text
             assert int(text.partition("tries ")[2].split()[0]) < 1000  # no busy loop
 
     run(scene)
