--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -11,7 +11,7 @@
 
 import pytest
 from click.testing import CliRunner
-from test_config import told
+from test_config import raw_config
 from world import ROOT, Backend, World, request, run, settings
 
 from emulator import command
@@ -27,24 +27,24 @@
 
 
 def test_check_accepts_a_configuration_that_is_valid_with_the_environment(tmp_path):
-    path, result = run_check(tmp_path, told())
+    path, result = run_check(tmp_path, raw_config())
     assert result.exit_code == 0 and result.stdout.startswith(
         f"{path}: usable: 3 classes, 2 plans, 1 backends"
     )
-    assert run_check(tmp_path, told(listen=None))[1].exit_code == 2
-    assert run_check(tmp_path, told(listen=None), NODE_LISTEN="127.0.0.1:1")[1].exit_code == 0
+    assert run_check(tmp_path, raw_config(listen=None))[1].exit_code == 2
+    assert run_check(tmp_path, raw_config(listen=None), NODE_LISTEN="127.0.0.1:1")[1].exit_code == 0
 
 
 @pytest.mark.parametrize(
     "configuration, field",
     [
-        (told(listen="7070"), "listen: "),
-        (told(limits={"sockets": 8}), "limits.sockets: "),
-        (told(known={"instances": 3}), "known.instances: "),
-        (told(peers=["127.0.0.1:1", "x"]), "peers[1]: "),
-        (told(settings=settings(plans=[{"name": "a", "depth": "6"}])), "settings.plans[0].depth: "),
+        (raw_config(listen="7070"), "listen: "),
+        (raw_config(limits={"sockets": 8}), "limits.sockets: "),
+        (raw_config(known={"instances": 3}), "known.instances: "),
+        (raw_config(peers=["127.0.0.1:1", "x"]), "peers[1]: "),
+        (raw_config(settings=settings(plans=[{"name": "a", "depth": "6"}])), "settings.plans[0].depth: "),
         (
-            told(settings=settings(classes=[{"name": "a", "promiseMs": []}])),
+            raw_config(settings=settings(classes=[{"name": "a", "promiseMs": []}])),
             "settings.classes[0].promiseMs: ",
         ),
     ],
