--- a/scale/real.py
+++ b/scale/real.py
@@ -311,12 +311,12 @@
         rest_ms_per_s, bytes_per_s = rest_ms / rest_s, rest_bytes / rest_s
         self._rest_ms_per_s = rest_ms_per_s
         self.put(
-            "processor time at rest", "ms/s", "Only heartbeats of discovery and the counter", rest_ms_per_s
+            "processor time at rest", "ms/s", "Heartbeats of discovery and the counter alone", rest_ms_per_s
         )
         self.put(
             "bytes at rest",
             "B/s",
-            "Payload in both directions of discovery and the counter, without requests",
+            "Payload both ways, discovery and counter, no requests",
             bytes_per_s,
         )
         elapsed_s, cpu_ms, size, change_count = await measure_cost(
@@ -326,13 +326,13 @@
         self.put(
             "processor time for a change",
             "ms",
-            f"For a change of one entry, less that at rest; at {CHANGES_PER_S:.0f}/s without requests",
+            f"Of one entry, over that at rest; at {CHANGES_PER_S:.0f}/s without requests",
             change_ms,
         )
         self.put(
             "bytes of a change",
             "B",
-            "Payload, less that at rest",
+            "Payload, over that at rest",
             max(0.0, size - bytes_per_s * elapsed_s) / change_count,
         )
         for name, rate, how in (
@@ -346,7 +346,7 @@
             self.put(
                 f"processor time for control, {name}",
                 "% of a core",
-                f"At rest and {how}: calculated from the two figures above",
+                f"At rest and {how}: worked out from the two above",
                 (rest_ms_per_s + rate * change_ms) / 10,
             )
         self._backend_list.prepare_lists(extent.list_count)
@@ -357,16 +357,16 @@
         self.put(
             "processor time for a whole list",
             "ms",
-            "Less that at rest, without requests; one entry in a hundred has a new start time in each list",
+            "Over that at rest, without requests; one entry in a hundred has started anew in each",
             max(0.0, cpu_ms - rest_ms_per_s * elapsed_s) / sent if accepted_all else None,
             refused,
         )
         self.put(
             "bytes of a whole list",
             "B",
-            "Payload, including the watch",
+            "Payload, with its watch",
             size / sent if accepted_all else sum(map(len, self._backend_list.full_list())),
-            refused and f"{refused}, the value is the size of the list itself",
+            refused and f"{refused}, the bytes are its own",
         )
         self.put(
             "resident memory, most while whole lists come",
@@ -401,9 +401,9 @@
             self.put(
                 f"longest step of the loop, {phase}",
                 "ms",
-                "Lateness of a timer of 1 ms, less the time for which the process waited for a processor, in "
-                "a second gateway that receives the lists and changes but no requests; "
-                f"{METER_RESOLUTION_MS} means that or less",
+                "How late a timer of 1 ms is, less what the process waited for a processor, inside a "
+                "second gateway that gets the lists and changes but no requests; "
+                f"{METER_RESOLUTION_MS} is that or less",
                 None if refused else metered.longest_step_ms(since_s, time.monotonic()),
                 refused,
             )
@@ -422,7 +422,7 @@
         self.put(
             "processor time for a request",
             "ms",
-            f"Of the gateway, less that at rest; {REQUESTS_PER_S:.0f} requests/s and no changes",
+            f"Of the gateway, over that at rest; nothing else comes, {REQUESTS_PER_S:.0f} requests/s",
             spent_ms / max(1, backends.requests - requests),
         )
         client.close()
@@ -431,7 +431,7 @@
             "new connections a request",
             "1",
             "Accepted by the backends, at "
-            f"{REQUESTS_PER_S:.0f} requests/s, after {2 * seconds:.0f} s at this rate",
+            f"{REQUESTS_PER_S:.0f} requests/s and after {2 * seconds:.0f} s of them",
             (backends.accepted - accepted) / max(1, backends.requests - requests),
         )
         propagation_ms = changes.propagation_ms
@@ -439,8 +439,8 @@
             f"{changes.timeouts} not in force within {PROPAGATION_LIMIT_S:.0f} s" if changes.timeouts else ""
         )
         about = (
-            "From when the agent announces that a backend drains until the gateway has closed its "
-            "connections to it and the last request has arrived"
+            "From the agent's write of a leave until the gateway has ended its connection there and the "
+            "last request has come"
         )
         self.put(
             "time until a change is in force, median",
@@ -463,9 +463,9 @@
             self.put(
                 f"added time, {phase}: {statistic}",
                 "ms",
-                f"From when a request is due, every 1/{REQUESTS_PER_S:.0f} s, to the last byte of its "
-                "response, less the median of requests sent straight to a backend, over kept connections and "
-                "half-way between the others; the backends respond at once",
+                f"From when a request was due, each 1/{REQUESTS_PER_S:.0f} s, to its answer's last "
+                "byte, less the median of the same client's requests straight to a backend, over kept "
+                "connections and half-way between; the backends answer at once",
                 None if refused else float(np.percentile(answers.latencies_ms, share)) - direct_ms,
                 refused or answers.describe_unserved(),
             )
@@ -473,14 +473,14 @@
             self.put(
                 f"straight to a backend, {phase}: {statistic}",
                 "ms",
-                "Without a gateway: the time that the rig, the loopback and the machine take",
+                "No gateway: what the rig, the loopback and the machine take themselves",
                 float(np.percentile(direct_answers.latencies_ms, share)),
                 direct_answers.describe_unserved(),
             )
         self.put(
             f"the rig's own lateness, {phase}: 99th percentile",
             "ms",
-            "Of sending requests, for instance if the machine is busy; included in the added times",
+            "Of sending a request, as where the machine is busy; it is part of the added times",
             float(np.percentile(answers.send_delays_ms, 99)),
         )
 
@@ -513,16 +513,16 @@
         self.put(
             "time until a new address of discovery is in force",
             "s",
-            "From SIGHUP until the drain of a backend, which only the new agent's list has, is in force",
+            "From SIGHUP until a leave that only the list there tells is in force",
             elapsed_s,
             why if elapsed_s is None else "",
         )
 
     async def _measure_starts(self, known: tuple[bytes, ...]) -> None:
         for name, with_known_list, is_silent, how in (
-            ("list known", True, False, "the list in its file and an agent without changes"),
-            ("nothing known", False, False, "the full list from discovery"),
-            ("discovery silent", True, True, "the list in its file and an agent that does not respond"),
+            ("list known", True, False, "the list in its file and an agent with nothing new"),
+            ("nothing known", False, False, "the whole list from discovery"),
+            ("discovery silent", True, True, "the list in its file and an agent that says nothing"),
         ):
             self._progress(f"starts, {name}")
             times_s = []
@@ -572,7 +572,7 @@
             collector.put(
                 "memory of customers seen",
                 "MiB",
-                "Increase of VmRSS after one request of each on a "
+                "VmRSS over that before, one request of each on a "
                 f"plan with a small quota; {backend_list.size} backends",
                 count,
                 program.memory_mb()[0] - before_mb if seen >= count else None,
