--- a/cobaltline/interface.py
+++ b/cobaltline/interface.py
@@ -100,7 +100,7 @@
     ceiling_burst: float = 0.0  # capacity of the ceiling's token bucket, in units
     ceiling_tolerance: float = 0.0  # units by which the ceiling may be exceeded
     excess_worth: float = 0.0  # value of a request served beyond the quota, as a part of its worth
-    overrun_cost: float = 0.0  # cost of a request served beyond the quota, as a part of its worth
+    overrun_cost: float = 0.0  # cost of a request sent beyond the quota, as a part of its worth
     price: float = 1.0  # factor on the worth of this plan's requests
 
 
